--- a/control/documents.c
+++ b/control/documents.c
@@ -23,7 +23,7 @@
     uint64_t index;
     /* Reading takes long, a leader's vouching may run out by that alone. */
     bool may_answer = ct_may_answer(n, &why);
-    qr_beat(n->q, ck_now());
+    qr_send_heartbeat(n->q, ck_now());
     /* Not valid here is not valid anywhere: no leader is needed to say so. */
     if (!cg_read(n->outside->documents, text, &cat, err)) {
         FL_EVENT(&n->log, LG_INFO, "document_refused", "detail=%s", err->text);
@@ -64,7 +64,7 @@
     if (!n->outside || n->view.doc.version == n->catalog.version)
         return;
     struct sr_str text = {n->view.doc.text, n->view.doc.len};
-    qr_beat(n->q, ck_now());
+    qr_send_heartbeat(n->q, ck_now());
     if (!cg_read(n->outside->documents, text, &cat, &err)) {
         FL_ERR(&n->log, "document %llu is in the log but can't be read: %s",
                (unsigned long long)n->view.doc.version, err.text);
--- a/quorum/quorum.c
+++ b/quorum/quorum.c
@@ -181,7 +181,7 @@
     return change_members(q, &next, now, err);
 }
 
-void qr_beat(struct qr *q, int64_t now)
+void qr_send_heartbeat(struct qr *q, int64_t now)
 {
     if (q->role == QR_LEADER)
         qc_heartbeat(q, now);
--- a/quorum/quorum.h
+++ b/quorum/quorum.h
@@ -150,7 +150,7 @@
 bool qr_promote_learner(struct qr *q, uint64_t id, int64_t now, struct er_err *err);
 bool qr_remove(struct qr *q, uint64_t id, int64_t now, struct er_err *err);
 /* The leader's heartbeat at once, ahead of a step that takes long. */
-void qr_beat(struct qr *q, int64_t now);
+void qr_send_heartbeat(struct qr *q, int64_t now);
 /* Ask the best follower to take over; the caller stops granting leases first. */
 void qr_hand_over(struct qr *q, int64_t now);
 /* The application's state up to `index` is `data`: drop the entries below. */
--- a/tests/unit/test_quorum.c
+++ b/tests/unit/test_quorum.c
@@ -185,11 +185,11 @@
 static void leader_beats_ahead_of_a_long_step(void)
 {
     struct qr *q = three(1);
-    qr_beat(q, CK_SEC(1));
+    qr_send_heartbeat(q, CK_SEC(1));
     CU_ASSERT_EQUAL(n_sent, 0);
     lead(q, CK_SEC(1));
     n_sent = 0;
-    qr_beat(q, CK_MS(1010));
+    qr_send_heartbeat(q, CK_MS(1010));
     CU_ASSERT_EQUAL(count(QR_APPEND), 2);
     qr_tick(q, CK_MS(1055), CK_MS(1055)); /* the next one is counted from it */
     CU_ASSERT_EQUAL(count(QR_APPEND), 2);
