--- a/control/control.c
+++ b/control/control.c
@@ -173,7 +173,7 @@
         return;
     }
     if (n->stopping || n->disk_full)
-        qr_hand_over(n->q, now);
+        qr_transfer_leadership(n->q, now);
     nt_timer_set(n->loop, &n->tick, TICK_US, tick, n);
 }
 
--- a/quorum/quorum.c
+++ b/quorum/quorum.c
@@ -187,7 +187,7 @@
         qc_heartbeat(q, now);
 }
 
-void qr_hand_over(struct qr *q, int64_t now)
+void qr_transfer_leadership(struct qr *q, int64_t now)
 {
     if (q->role != QR_LEADER)
         return;
--- a/quorum/quorum.h
+++ b/quorum/quorum.h
@@ -152,7 +152,7 @@
 /* The leader's heartbeat at once, ahead of a step that takes long. */
 void qr_send_heartbeat(struct qr *q, int64_t now);
 /* Ask the best follower to take over; the caller stops granting leases first. */
-void qr_hand_over(struct qr *q, int64_t now);
+void qr_transfer_leadership(struct qr *q, int64_t now);
 /* The application's state up to `index` is `data`: drop the entries below. */
 void qr_compact(struct qr *q, uint64_t index, const char *data, uint32_t len);
 
--- a/tests/unit/cluster_sim.c
+++ b/tests/unit/cluster_sim.c
@@ -400,7 +400,7 @@
     if (!n)
         return;
     trace(s, "hand over", (int)(n - s->n), 0);
-    qr_hand_over(n->q, s->now);
+    qr_transfer_leadership(n->q, s->now);
 }
 
 static void split(struct sim *s)
