--- a/control/members.c
+++ b/control/members.c
@@ -15,13 +15,14 @@
         const struct qr_member *x = &m->m[i];
         bool self = x->id == n->id;
         uint64_t match = qr_match(n->q, x->id);
-        s->node[s->n++] = (struct mb_node){.id = x->id,
-                                           .ip = x->ip,
-                                           .member = true,
-                                           .voter = x->voter,
-                                           .connected = self,
-                                           .caught_up = match > 0 && match >= qr_commit(n->q),
-                                           .heard_us = self ? 0 : now - qr_heard(n->q, x->id)};
+        s->node[s->n++] =
+            (struct mb_node){.id = x->id,
+                             .ip = x->ip,
+                             .member = true,
+                             .voter = x->voter,
+                             .connected = self,
+                             .caught_up = match > 0 && match >= qr_commit(n->q),
+                             .heard_us = self ? 0 : now - qr_last_contact(n->q, x->id)};
     }
 }
 
--- a/quorum/quorum.c
+++ b/quorum/quorum.c
@@ -320,7 +320,7 @@
     return 0;
 }
 
-int64_t qr_heard(const struct qr *q, uint64_t id)
+int64_t qr_last_contact(const struct qr *q, uint64_t id)
 {
     for (int i = 0; i < q->n_peers; i++) {
         if (q->peers[i].id == id)
--- a/quorum/quorum.h
+++ b/quorum/quorum.h
@@ -167,7 +167,7 @@
 /* A member's confirmed position; leader only. */
 uint64_t qr_match(const struct qr *q, uint64_t id);
 /* When the member was heard last, 0 never; leader only. */
-int64_t qr_heard(const struct qr *q, uint64_t id);
+int64_t qr_last_contact(const struct qr *q, uint64_t id);
 /* Until when a quorum vouches that nobody else leads, 0 if not leading or if no entry of this
  * term is committed yet. Counted from the sending of a round that a quorum answered, plus the
  * shortest election timeout. */
