--- a/quorum/core.h
+++ b/quorum/core.h
@@ -5,13 +5,13 @@
 
 #include "quorum/quorum.h"
 
-enum { ROUNDS = 64 }; /* heartbeat rounds whose sending time is kept */
+enum { MAX_ROUNDS = 64 }; /* heartbeat rounds whose sending time is kept */
 
 struct peer {
     uint64_t id;
     uint64_t next, match;
     uint64_t acked_round;
-    int64_t last_sent, last_heard;
+    int64_t last_sent, last_contact;
     bool probing; /* the match point is being looked for: one message at a time */
     bool granted;
     bool fresh; /* it has met no leader since it started, and may not ask for votes before us */
@@ -41,23 +41,23 @@
 
     uint64_t seq, persisted; /* disk writes asked for, confirmed */
     uint64_t hard_seq;       /* the last write that carried term and vote */
-    struct inflight fl[QR_MAX_INFLIGHT];
-    int n_fl;
+    struct inflight inflight_writes[QR_MAX_INFLIGHT];
+    int n_inflight;
     uint64_t vote_reply_to; /* a granted vote waits for the disk */
     uint64_t snap_seq;      /* a received snapshot waits for the disk */
 
-    int64_t deadline;     /* of the election timer */
-    int64_t heard_leader; /* when a leader of this term was last heard */
-    int64_t quiet_until;  /* started again: it may have vouched for a leader until then */
-    int64_t leader_since, next_beat;
+    int64_t deadline;       /* of the election timer */
+    int64_t leader_contact; /* when a leader of this term was last heard */
+    int64_t no_votes_until; /* started again: it may have vouched for a leader until then */
+    int64_t leader_since, next_heartbeat;
     uint64_t round;
-    int64_t round_sent[ROUNDS];
+    int64_t round_sent[MAX_ROUNDS];
     struct peer peers[QR_MAX_MEMBERS];
     int n_peers;
-    bool transfer;    /* this election was asked for by the old leader */
-    bool met_leader;  /* since the start: one was heard, or this node led */
-    int64_t asked_at; /* the last round of pre-votes was */
-    bool cold;        /* this election: all voters are fresh, no leader is left */
+    bool transfer;         /* this election was asked for by the old leader */
+    bool leader_seen;      /* since the start: one was heard, or this node led */
+    int64_t prevotes_sent; /* the last round of pre-votes was */
+    bool cold_start;       /* this election: all voters are fresh, no leader is left */
 };
 
 /* Small and everywhere: inline, since the parts are translation units of their own. */
@@ -66,7 +66,7 @@
     return q->snap_index + q->n;
 }
 
-static inline const struct qr_entry *qc_at(const struct qr *q, uint64_t index)
+static inline const struct qr_entry *qc_entry_at(const struct qr *q, uint64_t index)
 {
     if (index <= q->snap_index || index > qc_last_index(q))
         return NULL;
@@ -79,7 +79,7 @@
         *term = q->snap_term;
         return true;
     }
-    const struct qr_entry *e = qc_at(q, index);
+    const struct qr_entry *e = qc_entry_at(q, index);
     if (!e)
         return false;
     *term = e->term;
@@ -102,11 +102,11 @@
 
 /* elect.c */
 void qc_reset_timer(struct qr *q, int64_t now);
-void qc_reset_timer_short(struct qr *q, int64_t now, int64_t least);
-void qc_reset_timer_cold(struct qr *q, int64_t now);
+void qc_reset_timer_short(struct qr *q, int64_t now, int64_t min_delay);
+void qc_reset_timer_cold_start(struct qr *q, int64_t now);
 void qc_send(struct qr *q, struct qr_msg *m);
 void qc_become_follower(struct qr *q, uint64_t term, uint64_t leader, int64_t now);
-void qc_ask_votes(struct qr *q, enum qr_msg_type type);
+void qc_request_votes(struct qr *q, enum qr_msg_type type);
 int qc_votes(const struct qr *q);
 void qc_become_candidate(struct qr *q, int64_t now);
 void qc_start_election(struct qr *q, int64_t now);
@@ -124,12 +124,12 @@
 void qc_advance_commit(struct qr *q, int64_t now);
 int64_t qc_quorum_contact(const struct qr *q);
 void qc_heartbeat(struct qr *q, int64_t now);
-void qc_lead_tick(struct qr *q, int64_t now, int64_t heard);
+void qc_lead_tick(struct qr *q, int64_t now, int64_t received_until);
 void qc_on_append_reply(struct qr *q, const struct qr_msg *m, int64_t now);
 
 /* follow.c */
 void qc_reply_append(struct qr *q, uint64_t to, bool ok, uint64_t match, uint64_t round);
-uint64_t qc_acked(const struct qr *q);
+uint64_t qc_acked_index(const struct qr *q);
 void qc_on_append(struct qr *q, const struct qr_msg *m, int64_t now);
 void qc_on_snapshot(struct qr *q, const struct qr_msg *m, int64_t now);
 
--- a/quorum/disk.c
+++ b/quorum/disk.c
@@ -11,7 +11,7 @@
 
 /* Between two tries on a disk without room. Origin: short beside what frees room (seconds), and
  * ten refused writes a second cost nothing. */
-#define ROOM_RETRY_US CK_MS(100)
+#define SPACE_RETRY_US CK_MS(100)
 
 struct job {
     struct job *next;
@@ -24,7 +24,7 @@
     void *ud;
     pthread_t thread;
     pthread_mutex_t lock;
-    pthread_cond_t more;
+    pthread_cond_t wakeup;
     struct job *head, **tail;
     bool stop, failed;
     bool full; /* the first job of `batch` that is not durable waits for room */
@@ -70,7 +70,7 @@
     free(j);
 }
 
-static void drop_jobs(struct job **at, const struct job *end)
+static void free_jobs(struct job **at, const struct job *end)
 {
     while (*at != end) {
         struct job *next = (*at)->next;
@@ -81,7 +81,8 @@
 
 /* Write a batch and sync once; *seq is the last job's then. On failure *batch begins with the
  * first job that is not durable: a snapshot stands for all before it. */
-static bool do_batch(struct dk_disk *d, struct job **batch, uint64_t *seq, struct er_err *err)
+static bool write_batch(struct dk_disk *d, struct job **batch, uint64_t *seq,
+                        struct er_err *err)
 {
     struct job *j = *batch;
     while (j) {
@@ -91,32 +92,32 @@
         *seq = j->p.seq;
         j = j->next;
         if (durable)
-            drop_jobs(batch, j);
+            free_jobs(batch, j);
     }
     return so_sync(d->store, err);
 }
 
 /* Wait for room or the order to stop. Called and left with the lock held. */
-static void wait_for_room(struct dk_disk *d)
+static void wait_for_retry(struct dk_disk *d)
 {
     struct timespec until;
     clock_gettime(CLOCK_MONOTONIC, &until);
-    until.tv_nsec += ROOM_RETRY_US * 1000;
+    until.tv_nsec += SPACE_RETRY_US * 1000;
     until.tv_sec += until.tv_nsec / 1000000000;
     until.tv_nsec %= 1000000000;
-    while (!d->stop && pthread_cond_timedwait(&d->more, &d->lock, &until) != ETIMEDOUT)
+    while (!d->stop && pthread_cond_timedwait(&d->wakeup, &d->lock, &until) != ETIMEDOUT)
         ;
 }
 
 /* Do the batch, however long it takes until there is room. Called and left with the lock held;
  * false: a failure for good, or the order to stop. */
-static bool finish_batch(struct dk_disk *d, struct job **batch, uint64_t *seq)
+static bool write_batch_with_retries(struct dk_disk *d, struct job **batch, uint64_t *seq)
 {
     for (;;) {
         struct er_err err = {0};
         bool again = d->full;
         pthread_mutex_unlock(&d->lock);
-        bool ok = (!again || so_undo(d->store, &err)) && do_batch(d, batch, seq, &err);
+        bool ok = (!again || so_undo(d->store, &err)) && write_batch(d, batch, seq, &err);
         pthread_mutex_lock(&d->lock);
         d->full = !ok && err.kind == ER_DISK_FULL;
         if (ok)
@@ -126,7 +127,7 @@
             return false;
         if (!again)
             d->wake(d->ud);
-        wait_for_room(d);
+        wait_for_retry(d);
     }
 }
 
@@ -136,7 +137,7 @@
     pthread_mutex_lock(&d->lock);
     while (!d->failed) {
         while (!d->head && !d->stop)
-            pthread_cond_wait(&d->more, &d->lock);
+            pthread_cond_wait(&d->wakeup, &d->lock);
         if (!d->head)
             break;
         struct job *batch = d->head;
@@ -144,9 +145,9 @@
         d->tail = &d->head;
         uint64_t seq = 0;
         int64_t t0 = ck_now();
-        bool ok = finish_batch(d, &batch, &seq);
+        bool ok = write_batch_with_retries(d, &batch, &seq);
         int64_t took = ck_now() - t0;
-        drop_jobs(&batch, NULL);
+        free_jobs(&batch, NULL);
         d->syncs++;
         if (took > d->longest_us)
             d->longest_us = took;
@@ -170,11 +171,11 @@
     d->ud = ud;
     d->tail = &d->head;
     pthread_mutex_init(&d->lock, NULL);
-    pthread_condattr_t steady;
-    pthread_condattr_init(&steady);
-    pthread_condattr_setclock(&steady, CLOCK_MONOTONIC);
-    pthread_cond_init(&d->more, &steady);
-    pthread_condattr_destroy(&steady);
+    pthread_condattr_t attr;
+    pthread_condattr_init(&attr);
+    pthread_condattr_setclock(&attr, CLOCK_MONOTONIC);
+    pthread_cond_init(&d->wakeup, &attr);
+    pthread_condattr_destroy(&attr);
     if (pthread_create(&d->thread, NULL, run, d) != 0)
         abort();
     return d;
@@ -186,7 +187,7 @@
     pthread_mutex_lock(&d->lock);
     *d->tail = j;
     d->tail = &j->next;
-    pthread_cond_signal(&d->more);
+    pthread_cond_signal(&d->wakeup);
     pthread_mutex_unlock(&d->lock);
 }
 
@@ -230,7 +231,7 @@
 {
     pthread_mutex_lock(&d->lock);
     d->stop = true;
-    pthread_cond_signal(&d->more);
+    pthread_cond_signal(&d->wakeup);
     pthread_mutex_unlock(&d->lock);
     pthread_join(d->thread, NULL);
     while (d->head) {
--- a/quorum/elect.c
+++ b/quorum/elect.c
@@ -11,25 +11,26 @@
 
 void qc_reset_timer(struct qr *q, int64_t now)
 {
-    int64_t spread = (int64_t)rn_below(&q->rng, (uint64_t)q->cfg.election_us);
-    q->deadline = now + q->cfg.election_us + spread;
+    int64_t jitter = (int64_t)rn_below(&q->rng, (uint64_t)q->cfg.election_us);
+    q->deadline = now + q->cfg.election_us + jitter;
 }
 
 /* A start, or a pre-vote that got no majority: nobody leads as far as this node can tell, and
  * asking again changes no term. So the next try comes sooner than after a leader's silence. */
-void qc_reset_timer_short(struct qr *q, int64_t now, int64_t least)
+void qc_reset_timer_short(struct qr *q, int64_t now, int64_t min_delay)
 {
-    q->deadline = now + least + (int64_t)rn_below(&q->rng, (uint64_t)q->cfg.election_us / 3);
+    q->deadline =
+        now + min_delay + (int64_t)rn_below(&q->rng, (uint64_t)q->cfg.election_us / 3);
 }
 
 /* A voter that has met no leader since it started asks the others whether they have not either:
  * often, as an election then need not wait. */
-void qc_reset_timer_cold(struct qr *q, int64_t now)
+void qc_reset_timer_cold_start(struct qr *q, int64_t now)
 {
     enum { PARTS = 8 };
-    int64_t least = q->cfg.election_us / PARTS;
-    int64_t at = now + least + (int64_t)rn_below(&q->rng, (uint64_t)least + 1);
-    if (!q->met_leader && now < q->quiet_until && at < q->deadline)
+    int64_t min_delay = q->cfg.election_us / PARTS;
+    int64_t at = now + min_delay + (int64_t)rn_below(&q->rng, (uint64_t)min_delay + 1);
+    if (!q->leader_seen && now < q->no_votes_until && at < q->deadline)
         q->deadline = at;
 }
 
@@ -61,12 +62,12 @@
 
 /* No leader was met since the start, and none can come of an election that is under way here,
  * nor of one that this node would forget. */
-static bool is_fresh(const struct qr *q)
+static bool seen_no_leader(const struct qr *q)
 {
-    return !q->met_leader && q->role != QR_CANDIDATE && q->persisted >= q->hard_seq;
+    return !q->leader_seen && q->role != QR_CANDIDATE && q->persisted >= q->hard_seq;
 }
 
-void qc_ask_votes(struct qr *q, enum qr_msg_type type)
+void qc_request_votes(struct qr *q, enum qr_msg_type type)
 {
     for (int i = 0; i < q->n_peers; i++) {
         if (!qr_is_voter(q, q->peers[i].id))
@@ -76,7 +77,7 @@
                            .index = qc_last_index(q),
                            .log_term = qc_last_term(q),
                            .transfer = q->transfer,
-                           .fresh = type == QR_VOTE ? q->cold : is_fresh(q)};
+                           .fresh = type == QR_VOTE ? q->cold_start : seen_no_leader(q)};
         qc_send(q, &m);
     }
 }
@@ -111,16 +112,16 @@
     }
     q->role = QR_PRECANDIDATE;
     q->leader = 0;
-    q->cold = false;
-    q->asked_at = now;
+    q->cold_start = false;
+    q->prevotes_sent = now;
     qc_reset_peers(q, now);
     qc_reset_timer_short(q, now, q->cfg.election_us / 3);
-    qc_reset_timer_cold(q, now);
+    qc_reset_timer_cold_start(q, now);
     if (qc_votes(q) >= qc_quorum_size(q)) {
         qc_become_candidate(q, now);
         return;
     }
-    qc_ask_votes(q, QR_PREVOTE);
+    qc_request_votes(q, QR_PREVOTE);
 }
 
 /* ---- votes ---- */
@@ -134,30 +135,30 @@
 }
 
 /* Whether a leader was heard too lately to help anybody replace it. */
-static bool leader_is_fresh(const struct qr *q, int64_t now)
+static bool leader_is_recent(const struct qr *q, int64_t now)
 {
     if (q->role == QR_LEADER)
         return qc_quorum_contact(q) + q->cfg.election_us > now;
-    if (now < q->quiet_until)
+    if (now < q->no_votes_until)
         return true;
-    return q->leader && now - q->heard_leader < q->cfg.election_us;
+    return q->leader && now - q->leader_contact < q->cfg.election_us;
 }
 
 /* ---- a start of all voters ---- */
 
 /* Whether each voter of the configuration before the newest votes in the newest: a leader that
  * was just removed might lead on for a moment, and is not asked. */
-static bool voters_stay(const struct qr *q)
+static bool no_voter_removed(const struct qr *q)
 {
-    const struct qr_members *before = NULL, *newest = NULL;
+    const struct qr_members *previous = NULL, *newest = NULL;
     for (uint32_t i = 0; i < q->n; i++) {
         if (q->log[i].type != QR_MEMBERS)
             continue;
-        before = newest ? newest : &q->snap_members;
+        previous = newest ? newest : &q->snap_members;
         newest = (const void *)q->log[i].data;
     }
-    for (uint32_t i = 0; before && i < before->n; i++) {
-        if (before->m[i].voter && !qr_is_voter(q, before->m[i].id))
+    for (uint32_t i = 0; previous && i < previous->n; i++) {
+        if (previous->m[i].voter && !qr_is_voter(q, previous->m[i].id))
             return false;
     }
     return true;
@@ -165,7 +166,7 @@
 
 /* Of voters that start together one asks for votes: the one with the longest log, of equal ones
  * the lowest in number. */
-static bool comes_before(const struct qr *q, const struct qr_msg *m)
+static bool precedes_sender(const struct qr *q, const struct qr_msg *m)
 {
     uint64_t term = qc_last_term(q), index = qc_last_index(q);
     if (term != m->log_term)
@@ -174,9 +175,9 @@
 }
 
 /* Whether no process that led before is left: docs/design/agreement.md has the argument. */
-static bool all_fresh(const struct qr *q)
+static bool no_leader_left(const struct qr *q)
 {
-    if (!is_fresh(q) || !voters_stay(q))
+    if (!seen_no_leader(q) || !no_voter_removed(q))
         return false;
     int fresh = qr_is_voter(q, q->cfg.self), voters = fresh;
     for (int i = 0; i < q->n_peers; i++) {
@@ -188,27 +189,27 @@
 }
 
 /* One that has just started asks: if all have now, this node is the one to ask for votes. */
-static void ask_after(struct qr *q, const struct qr_msg *m, int64_t now)
+static void schedule_prevote(struct qr *q, const struct qr_msg *m, int64_t now)
 {
     enum { PARTS = 16 }; /* of an election's time, between two rounds of questions */
-    bool asks = m->fresh && is_fresh(q) && comes_before(q, m);
-    int64_t at = q->asked_at + q->cfg.election_us / PARTS;
+    bool precedes = m->fresh && seen_no_leader(q) && precedes_sender(q, m);
+    int64_t at = q->prevotes_sent + q->cfg.election_us / PARTS;
     if (at < now)
         at = now;
-    if (asks && at < q->deadline)
+    if (precedes && at < q->deadline)
         q->deadline = at;
 }
 
 void qc_on_prevote(struct qr *q, const struct qr_msg *m, int64_t now)
 {
     struct qr_msg r = {.type = QR_PREVOTE_R, .to = m->from};
-    r.ok = m->term > q->term && log_up_to_date(q, m) && !leader_is_fresh(q, now);
+    r.ok = m->term > q->term && log_up_to_date(q, m) && !leader_is_recent(q, now);
     r.round = m->term;
-    r.fresh = is_fresh(q);
+    r.fresh = seen_no_leader(q);
     r.index = qc_last_index(q);
     r.log_term = qc_last_term(q);
     qc_send(q, &r);
-    ask_after(q, m, now);
+    schedule_prevote(q, m, now);
 }
 
 void qc_on_prevote_reply(struct qr *q, const struct qr_msg *m, int64_t now)
@@ -221,16 +222,16 @@
     if (q->role != QR_PRECANDIDATE || !p || m->round != q->term + 1)
         return;
     p->granted = p->granted || m->ok;
-    p->fresh = m->fresh && m->term == q->term && comes_before(q, m);
-    q->cold = all_fresh(q);
-    if (q->cold || qc_votes(q) >= qc_quorum_size(q))
+    p->fresh = m->fresh && m->term == q->term && precedes_sender(q, m);
+    q->cold_start = no_leader_left(q);
+    if (q->cold_start || qc_votes(q) >= qc_quorum_size(q))
         qc_become_candidate(q, now);
 }
 
 void qc_on_vote(struct qr *q, const struct qr_msg *m, int64_t now)
 {
-    bool cold = m->fresh && is_fresh(q);
-    if (!m->transfer && !cold && leader_is_fresh(q, now))
+    bool cold_start = m->fresh && seen_no_leader(q);
+    if (!m->transfer && !cold_start && leader_is_recent(q, now))
         return;
     if (m->term > q->term)
         qc_become_follower(q, m->term, 0, now);
--- a/quorum/follow.c
+++ b/quorum/follow.c
@@ -13,7 +13,7 @@
     qc_send(q, &r);
 }
 
-uint64_t qc_acked(const struct qr *q)
+uint64_t qc_acked_index(const struct qr *q)
 {
     if (q->cfg.fault.ack_before_sync)
         return q->matched;
@@ -21,16 +21,16 @@
 }
 
 /* Take over what is new in the message; what conflicts with it goes first. */
-static void take_entries(struct qr *q, const struct qr_msg *m)
+static void append_entries(struct qr *q, const struct qr_msg *m)
 {
     uint64_t truncate_from = 0, first = 0;
     for (uint32_t i = 0; i < m->n; i++) {
         const struct qr_entry *e = &m->entries[i];
-        uint64_t have;
+        uint64_t own_term;
         if (e->index <= q->snap_index)
             continue;
-        if (!first && qc_term_at(q, e->index, &have)) {
-            if (have == e->term)
+        if (!first && qc_term_at(q, e->index, &own_term)) {
+            if (own_term == e->term)
                 continue;
             qc_truncate_log(q, e->index);
             truncate_from = e->index;
@@ -43,12 +43,12 @@
         qc_persist_entries(q, truncate_from, first);
 }
 
-static void follow(struct qr *q, const struct qr_msg *m, int64_t now)
+static void follow_sender(struct qr *q, const struct qr_msg *m, int64_t now)
 {
     if (m->term > q->term || q->role != QR_FOLLOWER || q->leader != m->from)
         qc_become_follower(q, m->term, m->from, now);
-    q->heard_leader = now;
-    q->met_leader = true;
+    q->leader_contact = now;
+    q->leader_seen = true;
     qc_reset_timer(q, now);
 }
 
@@ -58,28 +58,28 @@
         qc_reply_append(q, m->from, false, 0, 0);
         return;
     }
-    follow(q, m, now);
-    uint64_t have;
-    bool matches =
-        m->index < q->snap_index || (qc_term_at(q, m->index, &have) && have == m->log_term);
+    follow_sender(q, m, now);
+    uint64_t own_term;
+    bool matches = m->index < q->snap_index ||
+                   (qc_term_at(q, m->index, &own_term) && own_term == m->log_term);
     if (!matches) {
         uint64_t hint = m->index - 1 < qc_last_index(q) ? m->index - 1 : qc_last_index(q);
         qc_reply_append(q, m->from, false, hint, m->round);
         return;
     }
-    take_entries(q, m);
-    uint64_t upto = m->index + m->n;
-    if (upto > q->matched)
-        q->matched = upto;
+    append_entries(q, m);
+    uint64_t last = m->index + m->n;
+    if (last > q->matched)
+        q->matched = last;
     uint64_t commit = m->commit < q->matched ? m->commit : q->matched;
     if (commit > q->commit) {
         q->commit = commit;
         qc_apply_committed(q);
     }
-    qc_reply_append(q, m->from, true, qc_acked(q), m->round);
+    qc_reply_append(q, m->from, true, qc_acked_index(q), m->round);
 }
 
-static void take_snapshot(struct qr *q, const struct qr_msg *m)
+static void install_snapshot(struct qr *q, const struct qr_msg *m)
 {
     for (uint32_t i = 0; i < q->n; i++)
         free(q->log[i].data);
@@ -94,8 +94,8 @@
     q->snap_len = m->len;
     q->commit = q->applied = q->matched = m->index;
     q->durable = 0;
-    for (int i = 0; i < q->n_fl; i++)
-        q->fl[i].last_index = 0;
+    for (int i = 0; i < q->n_inflight; i++)
+        q->inflight_writes[i].last_index = 0;
     qc_refresh_members(q);
     struct qr_persist p = {.snapshot = true,
                            .snap_index = m->index,
@@ -108,7 +108,7 @@
 }
 
 /* The log agrees with the leader's up to `index`, which is committed. */
-static void note_agreed(struct qr *q, uint64_t index)
+static void mark_agreed(struct qr *q, uint64_t index)
 {
     if (index > q->matched)
         q->matched = index;
@@ -124,15 +124,15 @@
         qc_reply_append(q, m->from, false, 0, 0);
         return;
     }
-    follow(q, m, now);
-    uint64_t have;
-    bool agrees = qc_term_at(q, m->index, &have) && have == m->log_term;
+    follow_sender(q, m, now);
+    uint64_t own_term;
+    bool agrees = qc_term_at(q, m->index, &own_term) && own_term == m->log_term;
     if (m->index > q->commit && !agrees) {
-        take_snapshot(q, m);
+        install_snapshot(q, m);
     } else {
         /* The log holds what the snapshot does. What stands behind it stays: it may have been
          * acknowledged, and committed by that. */
-        note_agreed(q, m->index);
+        mark_agreed(q, m->index);
     }
-    qc_reply_append(q, m->from, true, qc_acked(q), m->round);
+    qc_reply_append(q, m->from, true, qc_acked_index(q), m->round);
 }
--- a/quorum/lead.c
+++ b/quorum/lead.c
@@ -28,12 +28,12 @@
 static uint32_t batch_size(const struct qr *q, const struct peer *p)
 {
     enum { PROBE_BYTES = 1024 };
-    uint32_t n = 0, bytes = 0, least = p->probing ? 0 : 1;
-    uint32_t most = p->probing ? PROBE_BYTES : QR_MAX_BATCH_BYTES;
+    uint32_t n = 0, bytes = 0, min_entries = p->probing ? 0 : 1;
+    uint32_t max_bytes = p->probing ? PROBE_BYTES : QR_MAX_BATCH_BYTES;
     const struct qr_entry *e;
-    while (n < QR_MAX_BATCH && (e = qc_at(q, p->next + n))) {
+    while (n < QR_MAX_BATCH && (e = qc_entry_at(q, p->next + n))) {
         bytes += e->len;
-        if (n >= least && bytes > most)
+        if (n >= min_entries && bytes > max_bytes)
             break;
         n++;
     }
@@ -54,7 +54,7 @@
                        .commit = q->commit,
                        .round = q->round};
     m.n = empty ? 0 : batch_size(q, p);
-    m.entries = m.n ? qc_at(q, p->next) : NULL;
+    m.entries = m.n ? qc_entry_at(q, p->next) : NULL;
     if (!p->probing)
         p->next += m.n;
     p->last_sent = now;
@@ -64,8 +64,8 @@
 void qc_heartbeat(struct qr *q, int64_t now)
 {
     q->round++;
-    q->round_sent[q->round % ROUNDS] = now;
-    q->next_beat = now + q->cfg.heartbeat_us;
+    q->round_sent[q->round % MAX_ROUNDS] = now;
+    q->next_heartbeat = now + q->cfg.heartbeat_us;
     for (int i = 0; i < q->n_peers; i++)
         qc_send_append(q, &q->peers[i], now, false);
 }
@@ -95,7 +95,7 @@
     q->role = QR_LEADER;
     q->leader = q->cfg.self;
     q->leader_since = now;
-    q->met_leader = true;
+    q->leader_seen = true;
     qc_reset_peers(q, now);
     memset(q->round_sent, 0, sizeof(q->round_sent));
     qc_append_own(q, QR_NOOP, NULL, 0, now);
@@ -106,7 +106,7 @@
 void qc_apply_committed(struct qr *q)
 {
     while (q->applied < q->commit) {
-        const struct qr_entry *e = qc_at(q, q->applied + 1);
+        const struct qr_entry *e = qc_entry_at(q, q->applied + 1);
         if (!e)
             return;
         q->applied++;
@@ -150,28 +150,28 @@
     if (q->role == QR_LEADER && q->members_index <= q->commit && !qc_member(q, q->cfg.self))
         qc_become_follower(q, q->term, 0, now);
     else if (q->role == QR_LEADER)
-        q->next_beat = now; /* tell the others soon */
+        q->next_heartbeat = now; /* tell the others soon */
 }
 
 /* When the newest round that a quorum has answered was sent; 0 if none. */
 int64_t qc_quorum_contact(const struct qr *q)
 {
     uint64_t r = quorum_value(q, q->round, true);
-    if (r == 0 || r + ROUNDS <= q->round)
+    if (r == 0 || r + MAX_ROUNDS <= q->round)
         return 0;
-    return q->round_sent[r % ROUNDS];
+    return q->round_sent[r % MAX_ROUNDS];
 }
 
-void qc_lead_tick(struct qr *q, int64_t now, int64_t heard)
+void qc_lead_tick(struct qr *q, int64_t now, int64_t received_until)
 {
     int64_t contact = qc_quorum_contact(q);
     if (contact < q->leader_since)
         contact = q->leader_since;
-    if (heard - contact > 2 * q->cfg.election_us) {
+    if (received_until - contact > 2 * q->cfg.election_us) {
         qc_become_follower(q, q->term, 0, now);
         return;
     }
-    if (now >= q->next_beat)
+    if (now >= q->next_heartbeat)
         qc_heartbeat(q, now);
 }
 
@@ -184,7 +184,7 @@
     struct peer *p = qc_peer(q, m->from);
     if (q->role != QR_LEADER || m->term != q->term || !p)
         return;
-    p->last_heard = now;
+    p->last_contact = now;
     if (m->round > p->acked_round)
         p->acked_round = m->round;
     if (!m->ok) {
--- a/quorum/log.c
+++ b/quorum/log.c
@@ -53,9 +53,9 @@
         free(q->log[--q->n].data);
     if (q->durable >= from)
         q->durable = from - 1;
-    for (int i = 0; i < q->n_fl; i++) {
-        if (q->fl[i].last_index >= from)
-            q->fl[i].last_index = from - 1;
+    for (int i = 0; i < q->n_inflight; i++) {
+        if (q->inflight_writes[i].last_index >= from)
+            q->inflight_writes[i].last_index = from - 1;
     }
     qc_refresh_members(q);
 }
@@ -68,8 +68,8 @@
     p->term = q->term;
     p->vote = q->cfg.fault.forget_vote ? 0 : q->vote;
     q->hard_seq = p->seq;
-    assert(q->n_fl < QR_MAX_INFLIGHT);
-    q->fl[q->n_fl++] = (struct inflight){p->seq, qc_last_index(q)};
+    assert(q->n_inflight < QR_MAX_INFLIGHT);
+    q->inflight_writes[q->n_inflight++] = (struct inflight){p->seq, qc_last_index(q)};
     q->cfg.sink->persist(q->cfg.ud, p);
 }
 
@@ -83,7 +83,7 @@
 {
     struct qr_persist p = {.truncate_from = truncate_from};
     p.n = (uint32_t)(qc_last_index(q) - first + 1);
-    p.entries = p.n ? qc_at(q, first) : NULL;
+    p.entries = p.n ? qc_entry_at(q, first) : NULL;
     qc_persist(q, &p);
 }
 
@@ -134,7 +134,7 @@
         next[n++] = old ? *old
                         : (struct peer){.id = id,
                                         .next = qc_last_index(q) + 1,
-                                        .last_heard = now,
+                                        .last_contact = now,
                                         .probing = true};
     }
     memcpy(q->peers, next, sizeof(next[0]) * (size_t)n);
--- a/quorum/quorum.c
+++ b/quorum/quorum.c
@@ -9,15 +9,15 @@
 
 /* Whether so many writes wait for the disk that no event may add more: one adds two at most,
  * and compaction another. */
-static bool disk_clogged(const struct qr *q)
+static bool disk_queue_full(const struct qr *q)
 {
     enum { SPARE = 8 };
-    return q->n_fl >= QR_MAX_INFLIGHT - SPARE;
+    return q->n_inflight >= QR_MAX_INFLIGHT - SPARE;
 }
 
 void qr_receive(struct qr *q, const struct qr_msg *m, int64_t now)
 {
-    if (m->to != q->cfg.self || disk_clogged(q))
+    if (m->to != q->cfg.self || disk_queue_full(q))
         return; /* as if lost on the way: its sender sends it again */
     switch (m->type) {
     case QR_PREVOTE:
@@ -44,7 +44,7 @@
     case QR_TIMEOUT_NOW:
         if (m->term == q->term && q->role == QR_FOLLOWER && qr_is_voter(q, q->cfg.self)) {
             q->transfer = true;
-            q->cold = false;
+            q->cold_start = false;
             qc_become_candidate(q, now);
         }
         break;
@@ -53,41 +53,41 @@
 
 /* ---- time and disk ---- */
 
-void qr_tick(struct qr *q, int64_t now, int64_t heard)
+void qr_tick(struct qr *q, int64_t now, int64_t received_until)
 {
     if (q->role == QR_LEADER) {
-        qc_lead_tick(q, now, heard);
-    } else if (heard >= q->deadline && !disk_clogged(q)) {
+        qc_lead_tick(q, now, received_until);
+    } else if (received_until >= q->deadline && !disk_queue_full(q)) {
         q->transfer = false;
         qc_start_election(q, now);
     }
 }
 
-static void note_durable(struct qr *q, uint64_t seq)
+static void mark_durable(struct qr *q, uint64_t seq)
 {
     int kept = 0;
-    for (int i = 0; i < q->n_fl; i++) {
-        if (q->fl[i].seq <= seq) {
-            if (q->fl[i].last_index > q->durable)
-                q->durable = q->fl[i].last_index;
+    for (int i = 0; i < q->n_inflight; i++) {
+        if (q->inflight_writes[i].seq <= seq) {
+            if (q->inflight_writes[i].last_index > q->durable)
+                q->durable = q->inflight_writes[i].last_index;
         } else {
-            q->fl[kept++] = q->fl[i];
+            q->inflight_writes[kept++] = q->inflight_writes[i];
         }
     }
-    q->n_fl = kept;
+    q->n_inflight = kept;
 }
 
 void qr_persisted(struct qr *q, uint64_t seq, int64_t now)
 {
     q->persisted = seq;
-    uint64_t before = qc_acked(q);
-    note_durable(q, seq);
+    uint64_t before = qc_acked_index(q);
+    mark_durable(q, seq);
     bool hard_done = q->persisted >= q->hard_seq;
     if (q->role == QR_CANDIDATE && hard_done) {
         if (qc_votes(q) >= qc_quorum_size(q))
             qc_become_leader(q, now);
         else
-            qc_ask_votes(q, QR_VOTE);
+            qc_request_votes(q, QR_VOTE);
         return;
     }
     if (q->vote_reply_to && hard_done) {
@@ -97,8 +97,8 @@
     }
     if (q->role == QR_LEADER)
         qc_advance_commit(q, now);
-    else if (q->leader && qc_acked(q) > before)
-        qc_reply_append(q, q->leader, true, qc_acked(q), 0);
+    else if (q->leader && qc_acked_index(q) > before)
+        qc_reply_append(q, q->leader, true, qc_acked_index(q), 0);
 }
 
 /* ---- proposals ---- */
@@ -108,8 +108,8 @@
     if (q->role != QR_LEADER)
         return er_set(err, ER_NOT_LEADER, "this node does not lead term %llu",
                       (unsigned long long)q->term);
-    if (disk_clogged(q))
-        return er_set(err, ER_OVERLOAD, "%d log writes wait for the disk", q->n_fl);
+    if (disk_queue_full(q))
+        return er_set(err, ER_OVERLOAD, "%d log writes wait for the disk", q->n_inflight);
     return true;
 }
 
@@ -209,18 +209,18 @@
     uint64_t term;
     if (index <= q->snap_index || index > q->applied || !qc_term_at(q, index, &term))
         return;
-    struct qr_members at = q->snap_members;
+    struct qr_members members = q->snap_members;
     uint32_t drop = (uint32_t)(index - q->snap_index);
     for (uint32_t i = 0; i < drop; i++) {
         if (q->log[i].type == QR_MEMBERS)
-            memcpy(&at, q->log[i].data, sizeof(at));
+            memcpy(&members, q->log[i].data, sizeof(members));
         free(q->log[i].data);
     }
     memmove(q->log, q->log + drop, sizeof(*q->log) * (q->n - drop));
     q->n -= drop;
     q->snap_index = index;
     q->snap_term = term;
-    q->snap_members = at;
+    q->snap_members = members;
     free(q->snap);
     q->snap = sr_alloc(len);
     if (len)
@@ -259,9 +259,9 @@
     q->commit = q->applied = r->snap_index;
     q->durable = qc_last_index(q);
     bool quiet = r->term && !cfg->fault.no_quiet;
-    q->quiet_until = quiet ? now + cfg->election_us : now;
+    q->no_votes_until = quiet ? now + cfg->election_us : now;
     qc_reset_timer_short(q, now, cfg->election_us);
-    qc_reset_timer_cold(q, now);
+    qc_reset_timer_cold_start(q, now);
     return q;
 }
 
@@ -324,7 +324,7 @@
 {
     for (int i = 0; i < q->n_peers; i++) {
         if (q->peers[i].id == id)
-            return q->peers[i].last_heard;
+            return q->peers[i].last_contact;
     }
     return 0;
 }
@@ -336,6 +336,6 @@
         return 0;
     if (qc_quorum_size(q) == 1)
         return INT64_MAX;
-    int64_t heard = qc_quorum_contact(q);
-    return heard ? heard + q->cfg.election_us : 0;
+    int64_t contact = qc_quorum_contact(q);
+    return contact ? contact + q->cfg.election_us : 0;
 }
--- a/quorum/quorum.h
+++ b/quorum/quorum.h
@@ -138,7 +138,7 @@
 void qr_destroy(struct qr *q);
 /* What had come by `heard` was delivered; it is not after `now`. Silence is counted up to it.
  */
-void qr_tick(struct qr *q, int64_t now, int64_t heard);
+void qr_tick(struct qr *q, int64_t now, int64_t received_until);
 void qr_receive(struct qr *q, const struct qr_msg *m, int64_t now);
 void qr_persisted(struct qr *q, uint64_t seq, int64_t now);
 
--- a/quorum/store.c
+++ b/quorum/store.c
@@ -16,8 +16,8 @@
 #include "misc/str.h"
 
 #define MAGIC 0x4c464c51u /* "QLFL" */
-#define HEADER 20
-#define MAX_BODY (64u << 20)
+#define HEADER_BYTES 20
+#define MAX_BODY_BYTES (64u << 20)
 
 enum rec_type { REC_HARD = 1, REC_ENTRY, REC_TRUNCATE, REC_SNAPSHOT };
 
@@ -72,15 +72,15 @@
 }
 
 /* Whether a whole, sound record stands at p. */
-static bool record_at(const unsigned char *p, size_t left, enum rec_type *type, size_t *len)
+static bool parse_record(const unsigned char *p, size_t left, enum rec_type *type, size_t *len)
 {
-    if (left < HEADER || get_n(p, 4) != MAGIC)
+    if (left < HEADER_BYTES || get_n(p, 4) != MAGIC)
         return false;
     uint64_t n = get_n(p + 4, 4);
     uint64_t t = get_n(p + 8, 4);
-    if (n > MAX_BODY || n > left - HEADER || t < REC_HARD || t > REC_SNAPSHOT)
+    if (n > MAX_BODY_BYTES || n > left - HEADER_BYTES || t < REC_HARD || t > REC_SNAPSHOT)
         return false;
-    if (XXH64(p + HEADER, n, n + t) != get_n(p + 12, 8))
+    if (XXH64(p + HEADER_BYTES, n, n + t) != get_n(p + 12, 8))
         return false;
     *type = (enum rec_type)t;
     *len = n;
@@ -89,13 +89,13 @@
 
 /* ---- files ---- */
 
-static void path_of(const struct so_store *s, const char *name, char *out, size_t cap)
+static void make_path(const struct so_store *s, const char *name, char *out, size_t cap)
 {
     snprintf(out, cap, "%s/%s", s->dir, name);
 }
 
 /* A disk without room, a quota or a size limit may change; other failures are for good. */
-static enum er_kind kind_of(int error)
+static enum er_kind disk_error_kind(int error)
 {
     bool full = error == ENOSPC || error == EDQUOT || error == EFBIG;
     return full ? ER_DISK_FULL : ER_DISK;
@@ -109,7 +109,8 @@
         if (k < 0 && errno == EINTR)
             continue;
         if (k < 0)
-            return er_set(err, kind_of(errno), "%s: write failed: %s", what, strerror(errno));
+            return er_set(err, disk_error_kind(errno), "%s: write failed: %s", what,
+                          strerror(errno));
         if (k == 0)
             return er_set(err, ER_DISK, "%s: write failed: nothing written", what);
         p += k;
@@ -130,10 +131,10 @@
     ssize_t k;
     while ((k = read(fd, buf, sizeof(buf))) > 0)
         sr_buf_add(out, buf, (size_t)k);
-    int why = errno;
+    int saved_errno = errno;
     close(fd);
     if (k < 0)
-        return er_set(err, ER_DISK, "%s: %s", path, strerror(why));
+        return er_set(err, ER_DISK, "%s: %s", path, strerror(saved_errno));
     return true;
 }
 
@@ -142,21 +143,22 @@
                          struct er_err *err)
 {
     char to[600], tmp[640];
-    path_of(s, name, to, sizeof(to));
+    make_path(s, name, to, sizeof(to));
     snprintf(tmp, sizeof(tmp), "%s.new", to);
     int fd = open(tmp, O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
     if (fd < 0)
-        return er_set(err, kind_of(errno), "%s: %s", tmp, strerror(errno));
+        return er_set(err, disk_error_kind(errno), "%s: %s", tmp, strerror(errno));
     bool ok = write_all(s, fd, b->p, b->len, tmp, err);
     if (ok && s->f->sync(fd) < 0)
-        ok = er_set(err, kind_of(errno), "%s: sync failed: %s", tmp, strerror(errno));
+        ok = er_set(err, disk_error_kind(errno), "%s: sync failed: %s", tmp, strerror(errno));
     close(fd);
     if (ok && s->f->rename(tmp, to) < 0)
-        ok = er_set(err, kind_of(errno), "%s: rename failed: %s", to, strerror(errno));
+        ok = er_set(err, disk_error_kind(errno), "%s: rename failed: %s", to, strerror(errno));
     if (!ok)
         unlink(tmp); /* the half of it takes room that the log may need */
     if (ok && s->f->sync(s->dir_fd) < 0)
-        ok = er_set(err, kind_of(errno), "%s: sync failed: %s", s->dir, strerror(errno));
+        ok =
+            er_set(err, disk_error_kind(errno), "%s: sync failed: %s", s->dir, strerror(errno));
     return ok;
 }
 
@@ -214,12 +216,12 @@
 static bool open_log(struct so_store *s, struct er_err *err)
 {
     char path[600];
-    path_of(s, "log", path, sizeof(path));
+    make_path(s, "log", path, sizeof(path));
     if (s->log_fd >= 0)
         close(s->log_fd);
     s->log_fd = open(path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
     if (s->log_fd < 0)
-        return er_set(err, kind_of(errno), "%s: %s", path, strerror(errno));
+        return er_set(err, disk_error_kind(errno), "%s: %s", path, strerror(errno));
     return true;
 }
 
@@ -256,7 +258,7 @@
 bool so_sync(struct so_store *s, struct er_err *err)
 {
     if (s->f->datasync(s->log_fd) < 0)
-        return er_set(err, kind_of(errno), "log: sync failed: %s", strerror(errno));
+        return er_set(err, disk_error_kind(errno), "log: sync failed: %s", strerror(errno));
     s->synced_bytes = s->log_bytes;
     return true;
 }
@@ -266,7 +268,7 @@
     if (s->log_fd < 0 && !open_log(s, err))
         return false;
     if (s->f->set_length(s->log_fd, (off_t)s->synced_bytes) < 0)
-        return er_set(err, kind_of(errno), "log: can't be cut to %" PRIu64 " bytes: %s",
+        return er_set(err, disk_error_kind(errno), "log: can't be cut to %" PRIu64 " bytes: %s",
                       s->synced_bytes, strerror(errno));
     s->log_bytes = s->synced_bytes;
     return true;
@@ -279,7 +281,7 @@
 
 /* ---- loading ---- */
 
-static void drop_from(struct so_store *s, uint64_t index)
+static void drop_entries_from(struct so_store *s, uint64_t index)
 {
     while (s->n > 0 && s->entries[s->n - 1].index >= index)
         free(s->entries[--s->n].data);
@@ -294,7 +296,7 @@
                          (uint32_t)(len - 20), NULL};
     if (e.index <= r->snap_index)
         return true;
-    drop_from(s, e.index);
+    drop_entries_from(s, e.index);
     uint64_t want = s->n ? s->entries[s->n - 1].index + 1 : r->snap_index + 1;
     if (e.index != want || e.type > QR_MEMBERS ||
         (e.type == QR_MEMBERS && e.len != sizeof(struct qr_members)))
@@ -319,7 +321,7 @@
         return true;
     }
     if (type == REC_TRUNCATE && len == 8) {
-        drop_from(s, get_n(p, 8));
+        drop_entries_from(s, get_n(p, 8));
         return true;
     }
     if (type == REC_ENTRY)
@@ -328,12 +330,12 @@
 }
 
 /* Whether a sound record stands anywhere behind `off`: then what is at `off` isn't a tail. */
-static bool sound_behind(const unsigned char *p, size_t n, size_t off)
+static bool has_valid_record_after(const unsigned char *p, size_t n, size_t off)
 {
     enum rec_type t;
     size_t len;
-    for (size_t i = off + 1; i + HEADER <= n; i++) {
-        if (record_at(p + i, n - i, &t, &len))
+    for (size_t i = off + 1; i + HEADER_BYTES <= n; i++) {
+        if (parse_record(p + i, n - i, &t, &len))
             return true;
     }
     return false;
@@ -344,7 +346,7 @@
     char path[600];
     struct sr_buf b = {0};
     bool missing, ok = true;
-    path_of(s, "log", path, sizeof(path));
+    make_path(s, "log", path, sizeof(path));
     struct er_err e = {0};
     if (!read_file(path, &b, &missing, &e)) {
         if (!missing)
@@ -354,11 +356,11 @@
     const unsigned char *p = (const unsigned char *)b.p;
     size_t off = 0, len;
     enum rec_type type;
-    while (ok && off < b.len && record_at(p + off, b.len - off, &type, &len)) {
-        ok = load_record(s, type, p + off + HEADER, len, &out->restore, err);
-        off += HEADER + len;
+    while (ok && off < b.len && parse_record(p + off, b.len - off, &type, &len)) {
+        ok = load_record(s, type, p + off + HEADER_BYTES, len, &out->restore, err);
+        off += HEADER_BYTES + len;
     }
-    if (ok && off < b.len && sound_behind(p, b.len, off))
+    if (ok && off < b.len && has_valid_record_after(p, b.len, off))
         ok = er_set(err, ER_CORRUPT,
                     "%s: bad record at byte %zu with sound ones behind it; this voter must be "
                     "replaced (ferryctl plan replace), its folder kept for inspection",
@@ -378,7 +380,7 @@
     char path[600];
     struct sr_buf b = {0};
     bool missing;
-    path_of(s, "snapshot", path, sizeof(path));
+    make_path(s, "snapshot", path, sizeof(path));
     struct er_err e = {0};
     if (!read_file(path, &b, &missing, &e)) {
         if (!missing)
@@ -388,11 +390,11 @@
     enum rec_type type;
     size_t len, fixed = 16 + sizeof(struct qr_members);
     const unsigned char *p = (const unsigned char *)b.p;
-    bool ok = record_at(p, b.len, &type, &len) && type == REC_SNAPSHOT && len >= fixed;
+    bool ok = parse_record(p, b.len, &type, &len) && type == REC_SNAPSHOT && len >= fixed;
     if (!ok) {
         er_set(err, ER_CORRUPT, "%s: checksum does not match; replace this voter", path);
     } else {
-        p += HEADER;
+        p += HEADER_BYTES;
         r->snap_index = get_n(p, 8);
         r->snap_term = get_n(p + 8, 8);
         memcpy(&r->members, p + 16, sizeof(r->members));
@@ -408,19 +410,19 @@
 static bool load_identity(struct so_store *s, const char *cluster, uint64_t wanted,
                           struct so_loaded *out, struct er_err *err)
 {
-    char path[600], have[128] = "";
+    char path[600], stored[128] = "";
     struct sr_buf b = {0};
     bool missing;
-    path_of(s, "identity", path, sizeof(path));
+    make_path(s, "identity", path, sizeof(path));
     struct er_err e = {0};
     if (read_file(path, &b, &missing, &e)) {
-        bool ok = sscanf(b.p ? b.p : "", "%127[^\n]\n%" SCNx64, have, &out->identity) == 2;
+        bool ok = sscanf(b.p ? b.p : "", "%127[^\n]\n%" SCNx64, stored, &out->identity) == 2;
         sr_buf_free(&b);
         if (!ok)
             return er_set(err, ER_CORRUPT, "%s: unreadable; replace this voter", path);
-        if (strcmp(have, cluster) != 0)
+        if (strcmp(stored, cluster) != 0)
             return er_set(err, ER_VERSION, "%s: made for cluster '%s', settings say '%s'",
-                          s->dir, have, cluster);
+                          s->dir, stored, cluster);
         return true;
     }
     if (!missing) {
@@ -471,7 +473,7 @@
 
 void so_release(struct so_store *s)
 {
-    drop_from(s, 0);
+    drop_entries_from(s, 0);
     free(s->entries);
     free(s->snap);
     s->entries = NULL;
