--- a/control/takeovers.c
+++ b/control/takeovers.c
@@ -39,7 +39,7 @@
     (void)domain;
     bool primary = g->primary >= 0 && strcmp(g->inst[g->primary]->id, inst) == 0;
     if (vantage == g->inst[0]->node->id)
-        tk_seen(&g->tk, inst, health_of(health));
+        tk_set_health(&g->tk, inst, health_of(health));
     else if (primary && health >= PR_SILENT)
         tk_suspected(&g->tk, inst);
 }
@@ -51,7 +51,7 @@
 
 static void reached(struct ct_group *g, const char *inst)
 {
-    tk_seen(&g->tk, inst, TK_UP);
+    tk_set_health(&g->tk, inst, TK_UP);
 }
 
 static void checked(struct ct_group *g, uint64_t nonce, enum pr_health health)
--- a/takeover/takeover.c
+++ b/takeover/takeover.c
@@ -53,7 +53,7 @@
     t->open_mixed = true;
 }
 
-void tk_seen(struct tk_group *t, const char *id, enum tk_health health)
+void tk_set_health(struct tk_group *t, const char *id, enum tk_health health)
 {
     struct tk_inst *in = inst_of(t, id);
     if (in)
--- a/takeover/takeover.h
+++ b/takeover/takeover.h
@@ -101,7 +101,7 @@
 /* A leader begins, or the group is new: nothing is known, also not of calls of others. */
 void tk_begin(struct tk_group *t, const struct tk_config *cfg, int64_t now);
 /* What this leader's connection to the instance shows. */
-void tk_seen(struct tk_group *t, const char *inst, enum tk_health health);
+void tk_set_health(struct tk_group *t, const char *inst, enum tk_health health);
 /* What the instance said of itself. */
 void tk_said(struct tk_group *t, const char *inst, bool primary, struct ps_pos received,
              int64_t now);
--- a/tests/unit/test_takeover.c
+++ b/tests/unit/test_takeover.c
@@ -41,7 +41,7 @@
     tk_begin(&t, &cfg, now);
     tick(false);
     for (int i = 0; i < 3; i++) {
-        tk_seen(&t, ids[i], TK_UP);
+        tk_set_health(&t, ids[i], TK_UP);
         tk_said(&t, ids[i], i == 0, (struct ps_pos){1, i == 1 ? 100 : 90}, now);
     }
     tk_said(&t, "a", true, (struct ps_pos){1, 100}, now);
@@ -69,7 +69,7 @@
 static void until_called(void)
 {
     fresh();
-    tk_seen(&t, "a", TK_REFUSED);
+    tk_set_health(&t, "a", TK_REFUSED);
     tick(false);
     CU_ASSERT_PTR_NOT_NULL(done(TK_DO_CHECK));
     tk_checking(&t, 2);
@@ -109,7 +109,7 @@
 static void reachable_primary_stays(void)
 {
     fresh();
-    tk_seen(&t, "a", TK_SILENT);
+    tk_set_health(&t, "a", TK_SILENT);
     tick(false);
     tk_checking(&t, 3);
     tk_checked(&t, t.nonce, TK_UP);
@@ -159,7 +159,7 @@
     tick(true);
     CU_ASSERT_PTR_NOT_NULL_FATAL(done(TK_DO_REPLACE));
     CU_ASSERT_EQUAL(done(TK_DO_REPLACE)->term, 3);
-    tk_seen(&t, "b", TK_REFUSED);
+    tk_set_health(&t, "b", TK_REFUSED);
     commit(done(TK_DO_REPLACE));
     tick(true);
     tick(true);
@@ -254,7 +254,7 @@
     ask_of_unfit(2, 1); /* this leader is the second that finds it up */
     CU_ASSERT_PTR_NULL(done(TK_DO_HAND));
     fresh();
-    tk_seen(&t, "a", TK_UNKNOWN);
+    tk_set_health(&t, "a", TK_UNKNOWN);
     ask_of_unfit(3, 0);
     CU_ASSERT_TRUE(!done(TK_DO_HAND) && !done(TK_DO_REPLACE));
 }
@@ -272,9 +272,9 @@
 static void nobody_left_waits(void)
 {
     fresh();
-    tk_seen(&t, "b", TK_REFUSED);
-    tk_seen(&t, "c", TK_SILENT);
-    tk_seen(&t, "a", TK_REFUSED);
+    tk_set_health(&t, "b", TK_REFUSED);
+    tk_set_health(&t, "c", TK_SILENT);
+    tk_set_health(&t, "a", TK_REFUSED);
     tick(false);
     CU_ASSERT_EQUAL(out.n, 0);
     /* The named instance leaves while its call is out. */
