--- a/control/takeovers.c
+++ b/control/takeovers.c
@@ -46,7 +46,7 @@
 
 static void said(struct ct_group *g, const char *inst, const struct ep_reply *r)
 {
-    tk_said(&g->tk, inst, r->primary, r->held, ck_now());
+    tk_set_status(&g->tk, inst, r->primary, r->held, ck_now());
 }
 
 static void reached(struct ct_group *g, const char *inst)
--- a/takeover/takeover.c
+++ b/takeover/takeover.c
@@ -60,8 +60,8 @@
         in->health = health;
 }
 
-void tk_said(struct tk_group *t, const char *id, bool primary, struct ps_pos received,
-             int64_t now)
+void tk_set_status(struct tk_group *t, const char *id, bool primary, struct ps_pos received,
+                   int64_t now)
 {
     struct tk_inst *in = inst_of(t, id);
     if (!in)
--- a/takeover/takeover.h
+++ b/takeover/takeover.h
@@ -103,8 +103,8 @@
 /* What this leader's connection to the instance shows. */
 void tk_set_health(struct tk_group *t, const char *inst, enum tk_health health);
 /* What the instance said of itself. */
-void tk_said(struct tk_group *t, const char *inst, bool primary, struct ps_pos received,
-             int64_t now);
+void tk_set_status(struct tk_group *t, const char *inst, bool primary, struct ps_pos received,
+                   int64_t now);
 /* An entry node can't get an answer of the instance. */
 void tk_suspected(struct tk_group *t, const char *inst);
 /* TK_DO_CHECK was carried out: `n` entry nodes were asked. */
--- a/tests/unit/test_takeover.c
+++ b/tests/unit/test_takeover.c
@@ -42,9 +42,9 @@
     tick(false);
     for (int i = 0; i < 3; i++) {
         tk_set_health(&t, ids[i], TK_UP);
-        tk_said(&t, ids[i], i == 0, (struct ps_pos){1, i == 1 ? 100 : 90}, now);
+        tk_set_status(&t, ids[i], i == 0, (struct ps_pos){1, i == 1 ? 100 : 90}, now);
     }
-    tk_said(&t, "a", true, (struct ps_pos){1, 100}, now);
+    tk_set_status(&t, "a", true, (struct ps_pos){1, 100}, now);
 }
 
 /* What the view says once the proposal is committed. */
@@ -62,7 +62,7 @@
 
 static void say(const char *id, bool primary, uint64_t pos)
 {
-    tk_said(&t, id, primary, (struct ps_pos){1, pos}, now);
+    tk_set_status(&t, id, primary, (struct ps_pos){1, pos}, now);
 }
 
 /* The primary refuses, entry nodes agree: until the call is out. */
