--- a/control/takeovers.c
+++ b/control/takeovers.c
@@ -107,7 +107,7 @@
 {
     switch (a->kind) {
     case TK_DO_CHECK:
-        tk_checking(&g->tk, ct_check_nodes(n, g->tk.nonce, g->inst[a->inst]->id));
+        tk_checks_sent(&g->tk, ct_check_nodes(n, g->tk.nonce, g->inst[a->inst]->id));
         break;
     case TK_DO_REPLACE:
         propose(n, g, VW_CH_REPLACE, a);
--- a/takeover/takeover.c
+++ b/takeover/takeover.c
@@ -77,7 +77,7 @@
         t->suspects++;
 }
 
-void tk_checking(struct tk_group *t, int n)
+void tk_checks_sent(struct tk_group *t, int n)
 {
     t->checks_out = n;
 }
--- a/takeover/takeover.h
+++ b/takeover/takeover.h
@@ -71,7 +71,7 @@
 };
 
 enum tk_action_kind {
-    TK_DO_CHECK,   /* ask entry nodes about `inst`; answer by tk_checking, tk_checked */
+    TK_DO_CHECK,   /* ask entry nodes about `inst`; answer by tk_checks_sent, tk_checked */
     TK_DO_REPLACE, /* propose VW_CH_REPLACE with `term` */
     TK_DO_HAND,    /* propose VW_CH_HAND with `term` to `inst` */
     TK_DO_CALL,    /* name `inst` under the token `term`; answer by tk_called */
@@ -108,7 +108,7 @@
 /* An entry node can't get an answer of the instance. */
 void tk_suspected(struct tk_group *t, const char *inst);
 /* TK_DO_CHECK was carried out: `n` entry nodes were asked. */
-void tk_checking(struct tk_group *t, int n);
+void tk_checks_sent(struct tk_group *t, int n);
 /* One of them answers what it was asked under `nonce`. */
 void tk_checked(struct tk_group *t, uint64_t nonce, enum tk_health health);
 /* The outcome of the call under `term`. */
--- a/tests/unit/test_takeover.c
+++ b/tests/unit/test_takeover.c
@@ -72,7 +72,7 @@
     tk_set_health(&t, "a", TK_REFUSED);
     tick(false);
     CU_ASSERT_PTR_NOT_NULL(done(TK_DO_CHECK));
-    tk_checking(&t, 2);
+    tk_checks_sent(&t, 2);
     tk_checked(&t, t.nonce, TK_REFUSED);
     tk_checked(&t, t.nonce, TK_UNKNOWN);
     tick(false);
@@ -111,7 +111,7 @@
     fresh();
     tk_set_health(&t, "a", TK_SILENT);
     tick(false);
-    tk_checking(&t, 3);
+    tk_checks_sent(&t, 3);
     tk_checked(&t, t.nonce, TK_UP);
     tk_checked(&t, t.nonce, TK_UP);
     tk_checked(&t, t.nonce, TK_SILENT);
@@ -133,7 +133,7 @@
     tk_suspected(&t, "a");
     tick(false);
     CU_ASSERT_PTR_NOT_NULL(done(TK_DO_CHECK));
-    tk_checking(&t, 3);
+    tk_checks_sent(&t, 3);
     for (int i = 0; i < 3; i++)
         tk_checked(&t, t.nonce, TK_SILENT);
     tick(false);
@@ -235,7 +235,7 @@
     tk_suspected(&t, "a");
     tick(false);
     CU_ASSERT_PTR_NOT_NULL_FATAL(done(TK_DO_CHECK));
-    tk_checking(&t, unfit + up);
+    tk_checks_sent(&t, unfit + up);
     for (int i = 0; i < unfit; i++)
         tk_checked(&t, t.nonce, TK_UNFIT);
     for (int i = 0; i < up; i++)
