--- a/control/takeovers.c
+++ b/control/takeovers.c
@@ -56,7 +56,7 @@
 
 static void checked(struct ct_group *g, uint64_t nonce, enum pr_health health)
 {
-    tk_checked(&g->tk, nonce, health_of(health));
+    tk_check_reply(&g->tk, nonce, health_of(health));
 }
 
 static bool busy(const struct ct_group *g)
--- a/takeover/takeover.c
+++ b/takeover/takeover.c
@@ -82,7 +82,7 @@
     t->checks_out = n;
 }
 
-void tk_checked(struct tk_group *t, uint64_t nonce, enum tk_health health)
+void tk_check_reply(struct tk_group *t, uint64_t nonce, enum tk_health health)
 {
     if (nonce != t->nonce || t->step != TK_ASKING)
         return;
--- a/takeover/takeover.h
+++ b/takeover/takeover.h
@@ -71,7 +71,7 @@
 };
 
 enum tk_action_kind {
-    TK_DO_CHECK,   /* ask entry nodes about `inst`; answer by tk_checks_sent, tk_checked */
+    TK_DO_CHECK,   /* ask entry nodes about `inst`; answer by tk_checks_sent, tk_check_reply */
     TK_DO_REPLACE, /* propose VW_CH_REPLACE with `term` */
     TK_DO_HAND,    /* propose VW_CH_HAND with `term` to `inst` */
     TK_DO_CALL,    /* name `inst` under the token `term`; answer by tk_called */
@@ -110,7 +110,7 @@
 /* TK_DO_CHECK was carried out: `n` entry nodes were asked. */
 void tk_checks_sent(struct tk_group *t, int n);
 /* One of them answers what it was asked under `nonce`. */
-void tk_checked(struct tk_group *t, uint64_t nonce, enum tk_health health);
+void tk_check_reply(struct tk_group *t, uint64_t nonce, enum tk_health health);
 /* The outcome of the call under `term`. */
 void tk_called(struct tk_group *t, uint64_t term, enum tk_outcome what, int64_t now);
 /* Decide. `dropped`: no entry node acts on a view older than the change that began the phase.
--- a/tests/unit/test_takeover.c
+++ b/tests/unit/test_takeover.c
@@ -73,8 +73,8 @@
     tick(false);
     CU_ASSERT_PTR_NOT_NULL(done(TK_DO_CHECK));
     tk_checks_sent(&t, 2);
-    tk_checked(&t, t.nonce, TK_REFUSED);
-    tk_checked(&t, t.nonce, TK_UNKNOWN);
+    tk_check_reply(&t, t.nonce, TK_REFUSED);
+    tk_check_reply(&t, t.nonce, TK_UNKNOWN);
     tick(false);
     CU_ASSERT_PTR_NOT_NULL_FATAL(done(TK_DO_REPLACE));
     commit(done(TK_DO_REPLACE));
@@ -112,9 +112,9 @@
     tk_set_health(&t, "a", TK_SILENT);
     tick(false);
     tk_checks_sent(&t, 3);
-    tk_checked(&t, t.nonce, TK_UP);
-    tk_checked(&t, t.nonce, TK_UP);
-    tk_checked(&t, t.nonce, TK_SILENT);
+    tk_check_reply(&t, t.nonce, TK_UP);
+    tk_check_reply(&t, t.nonce, TK_UP);
+    tk_check_reply(&t, t.nonce, TK_SILENT);
     tick(false);
     CU_ASSERT_PTR_NULL(done(TK_DO_REPLACE));
     CU_ASSERT_EQUAL(t.step, TK_IDLE);
@@ -135,7 +135,7 @@
     CU_ASSERT_PTR_NOT_NULL(done(TK_DO_CHECK));
     tk_checks_sent(&t, 3);
     for (int i = 0; i < 3; i++)
-        tk_checked(&t, t.nonce, TK_SILENT);
+        tk_check_reply(&t, t.nonce, TK_SILENT);
     tick(false);
     CU_ASSERT_PTR_NOT_NULL_FATAL(done(TK_DO_HAND));
     CU_ASSERT_EQUAL(done(TK_DO_HAND)->inst, 1);
@@ -237,9 +237,9 @@
     CU_ASSERT_PTR_NOT_NULL_FATAL(done(TK_DO_CHECK));
     tk_checks_sent(&t, unfit + up);
     for (int i = 0; i < unfit; i++)
-        tk_checked(&t, t.nonce, TK_UNFIT);
+        tk_check_reply(&t, t.nonce, TK_UNFIT);
     for (int i = 0; i < up; i++)
-        tk_checked(&t, t.nonce, TK_UP);
+        tk_check_reply(&t, t.nonce, TK_UP);
     tick(false);
 }
 
