--- a/control/takeovers.c
+++ b/control/takeovers.c
@@ -39,24 +39,24 @@
     (void)domain;
     bool primary = g->primary >= 0 && strcmp(g->inst[g->primary]->id, inst) == 0;
     if (vantage == g->inst[0]->node->id)
-        tk_seen(&g->tk, inst, health_of(health));
+        tk_set_health(&g->tk, inst, health_of(health));
     else if (primary && health >= PR_SILENT)
         tk_suspected(&g->tk, inst);
 }
 
 static void said(struct ct_group *g, const char *inst, const struct ep_reply *r)
 {
-    tk_said(&g->tk, inst, r->primary, r->held, ck_now());
+    tk_set_status(&g->tk, inst, r->primary, r->held, ck_now());
 }
 
 static void reached(struct ct_group *g, const char *inst)
 {
-    tk_seen(&g->tk, inst, TK_UP);
+    tk_set_health(&g->tk, inst, TK_UP);
 }
 
 static void checked(struct ct_group *g, uint64_t nonce, enum pr_health health)
 {
-    tk_checked(&g->tk, nonce, health_of(health));
+    tk_check_reply(&g->tk, nonce, health_of(health));
 }
 
 static bool busy(const struct ct_group *g)
@@ -107,7 +107,7 @@
 {
     switch (a->kind) {
     case TK_DO_CHECK:
-        tk_checking(&g->tk, ct_check_nodes(n, g->tk.nonce, g->inst[a->inst]->id));
+        tk_checks_sent(&g->tk, ct_check_nodes(n, g->tk.nonce, g->inst[a->inst]->id));
         break;
     case TK_DO_REPLACE:
         propose(n, g, VW_CH_REPLACE, a);
--- a/takeover/takeover.c
+++ b/takeover/takeover.c
@@ -53,15 +53,15 @@
     t->open_mixed = true;
 }
 
-void tk_seen(struct tk_group *t, const char *id, enum tk_health health)
+void tk_set_health(struct tk_group *t, const char *id, enum tk_health health)
 {
     struct tk_inst *in = inst_of(t, id);
     if (in)
         in->health = health;
 }
 
-void tk_said(struct tk_group *t, const char *id, bool primary, struct ps_pos received,
-             int64_t now)
+void tk_set_status(struct tk_group *t, const char *id, bool primary, struct ps_pos received,
+                   int64_t now)
 {
     struct tk_inst *in = inst_of(t, id);
     if (!in)
@@ -77,12 +77,12 @@
         t->suspects++;
 }
 
-void tk_checking(struct tk_group *t, int n)
+void tk_checks_sent(struct tk_group *t, int n)
 {
     t->checks_out = n;
 }
 
-void tk_checked(struct tk_group *t, uint64_t nonce, enum tk_health health)
+void tk_check_reply(struct tk_group *t, uint64_t nonce, enum tk_health health)
 {
     if (nonce != t->nonce || t->step != TK_ASKING)
         return;
