--- a/proxy/conn.c
+++ b/proxy/conn.c
@@ -26,7 +26,7 @@
     c->sent_at = ck_now();
     c->term = c->inst->group->cfg.term;
     c->leased = px_leased(p);
-    c->done = false;
+    c->complete_seen = false;
     c->error = ER_NONE;
     c->rows.len = c->signature.len = 0;
     bool ok = c->net && nt_send(c->net, b.p, b.len);
@@ -79,7 +79,7 @@
            (unsigned long long)s->seen.term, (unsigned long long)s->seen.pos, s->begun);
     c->phase = PX_C_RUNNING;
     px_part_done(s, PX_T_SETUP);
-    s->sent_at = c->used_at = ck_now();
+    s->sent_at = c->last_used_at = ck_now();
     s->offers++;
     bool ok = send_msg(c, &m);
     sr_buf_free(&text);
@@ -140,7 +140,7 @@
     struct px_stmt st = {.verb = PX_V_ROLLBACK};
     struct ps_pos none = {0};
     c->session = NULL;
-    c->phase = PX_C_ENDING;
+    c->phase = PX_C_ROLLING_BACK;
     if (!send_own(c, &st, false, none))
         px_conn_close(c);
 }
@@ -151,10 +151,10 @@
     /* What is out may or may not change what the connection has: it starts anew before use. */
     if (c->phase == PX_C_SETUP)
         c->applied.session = UINT64_MAX;
-    if (c->phase == PX_C_RESTING)
+    if (c->phase == PX_C_IDLE_IN_TXN)
         px_conn_rollback(c);
     else
-        c->phase = PX_C_ORPHAN;
+        c->phase = PX_C_ORPHANED;
 }
 
 void px_conn_close(struct px_conn *c)
@@ -170,8 +170,8 @@
 
 static void hear(struct px_conn *c)
 {
-    c->inst->heard = ck_now();
-    c->inst->refused_at = 0;
+    c->inst->last_received = ck_now();
+    c->inst->connect_failed_at = 0;
 }
 
 /* What the position of an answer tells: of the primary, what every commit acknowledged before
@@ -179,11 +179,11 @@
 static void note_position(struct px_conn *c)
 {
     struct px_inst *in = c->inst;
-    if (!c->has_pos || in->gone)
+    if (!c->has_pos || in->removed)
         return;
-    if (ps_cmp(c->pos, in->known) > 0)
-        in->known = c->pos;
-    bool primary = in->at == in->group->cfg.primary;
+    if (ps_cmp(c->pos, in->known_pos) > 0)
+        in->known_pos = c->pos;
+    bool primary = in->index == in->group->cfg.primary;
     if (primary && c->leased && c->term == in->group->cfg.term)
         rt_primary_at(&in->group->rt, c->sent_at, c->pos);
 }
@@ -208,7 +208,7 @@
     bool failed = c->error == ER_FAILED || c->error == ER_TIMEOUT;
     bool read = !c->session->writes && c->session->stmt.verb != PX_V_COMMIT;
     if (read && c->error == ER_NONE)
-        c->inst->served_at = ck_now();
+        c->inst->read_served_at = ck_now();
     if (read && (failed || c->error == ER_NONE))
         px_outlier_note(&c->inst->outlier, !failed, ck_now());
 }
@@ -226,8 +226,8 @@
     struct px_inst *in = c->inst;
     c->phase = PX_C_IDLE;
     px_full_accepted(&in->full, &in->p->fulls, open_conns(in), ck_now());
-    in->full_since = 0;
-    in->wants_first = false;
+    in->too_many_since = 0;
+    in->wants_first_conn = false;
     in->p->c.opened++;
     px_inst_pump(in);
 }
@@ -268,7 +268,7 @@
 /* An end without COMPLETE or ERROR: the answer broke off, and what ran is not known. */
 static bool broke_off(const struct px_conn *c)
 {
-    return c->phase != PX_C_OPENING && !c->done && c->error == ER_NONE;
+    return c->phase != PX_C_OPENING && !c->complete_seen && c->error == ER_NONE;
 }
 
 /* A whole answer is there: its READY has come. */
@@ -295,17 +295,17 @@
         px_part_done(c->session, PX_T_INSTANCE);
         px_answered(c->session, c);
         break;
-    case PX_C_ENDING:
-    case PX_C_ORPHAN:
+    case PX_C_ROLLING_BACK:
+    case PX_C_ORPHANED:
         if (c->state == PX_IDLE)
             px_conn_idle(c);
-        else if (c->phase == PX_C_ORPHAN)
+        else if (c->phase == PX_C_ORPHANED)
             px_conn_rollback(c);
         else
             px_conn_close(c);
         break;
     case PX_C_IDLE:
-    case PX_C_RESTING:
+    case PX_C_IDLE_IN_TXN:
         FL_WARN(&c->inst->p->log, "instance %s answered what was not asked; closing",
                 c->inst->cfg.id);
         px_conn_close(c);
@@ -320,15 +320,15 @@
     int64_t now = ck_now();
     bool full = m->error == ER_TOO_MANY;
     if (!full)
-        in->full_since = 0;
-    else if (!in->full_since)
-        in->full_since = now;
-    bool soon = full && now - in->full_since < DARK_US;
+        in->too_many_since = 0;
+    else if (!in->too_many_since)
+        in->too_many_since = now;
+    bool soon = full && now - in->too_many_since < DARK_US;
     int open = open_conns(in);
-    in->next_open = now + (soon ? TOO_MANY_SOON_US : full ? TOO_MANY_US : RETRY_US);
+    in->next_open_at = now + (soon ? TOO_MANY_SOON_US : full ? TOO_MANY_US : RETRY_US);
     if (soon && open > 0 && px_has_accounts(in->p)) { /* they take turns on those */
         px_full_refused(&in->full, &in->p->fulls, open, now);
-        in->next_open = now;
+        in->next_open_at = now;
     }
     FL_INFO(&in->p->log, "instance %s refuses a connection: %s %.*s", in->cfg.id,
             er_name(m->error), (int)m->detail.len, m->detail.p);
@@ -343,7 +343,7 @@
         codec->put(&c->rows, m);
         break;
     case PX_DONE:
-        c->done = true;
+        c->complete_seen = true;
         c->signature.len = 0;
         sr_buf_add(&c->signature, m->signature.p, m->signature.len);
         break;
@@ -420,12 +420,12 @@
 {
     struct px_inst *in = c->inst;
     if (c->phase != PX_C_OPENING) {
-        in->next_open = 0;
-        in->asks = true;
+        in->next_open_at = 0;
+        in->wants_probe = true;
         return;
     }
-    in->refused_at = ck_now();
-    in->next_open = ck_now() + RETRY_US;
+    in->connect_failed_at = ck_now();
+    in->next_open_at = ck_now() + RETRY_US;
     px_inst_suspect(in, refused ? WR_REFUSED : WR_SILENT);
 }
 
@@ -458,7 +458,7 @@
     struct px_conn *c = sr_alloc(sizeof(*c));
     sr_copy(c->account, sizeof(c->account), sr_from(account));
     sr_copy(in->last_account, sizeof(in->last_account), sr_from(account));
-    c->used_at = ck_now();
+    c->last_used_at = ck_now();
     c->inst = in;
     c->phase = PX_C_OPENING;
     c->sent_at = ck_now();
@@ -467,7 +467,7 @@
     in->conns = c;
     in->n_conns++;
     c->net = nt_connect_stream(in->p->loop, in->cfg.ip, in->cfg.port, &ops, c);
-    px_meter(in->p, c->net, PX_TO_INSTANCE, in->cfg.domain);
+    px_meter(in->p, c->net, PX_PEER_INSTANCE, in->cfg.domain);
 }
 
 void px_conn_tick(struct px_conn *c, int64_t now)
@@ -476,10 +476,11 @@
     if (c->closing)
         return;
     if (c->phase == PX_C_OPENING && silent_us > OPEN_US) {
-        c->inst->next_open = now + RETRY_US;
+        c->inst->next_open_at = now + RETRY_US;
         px_inst_suspect(c->inst, WR_SILENT);
         px_conn_close(c);
-    } else if ((c->phase == PX_C_ORPHAN || c->phase == PX_C_ENDING) && silent_us > ORPHAN_US) {
+    } else if ((c->phase == PX_C_ORPHANED || c->phase == PX_C_ROLLING_BACK) &&
+               silent_us > ORPHAN_US) {
         px_outlier_note(&c->inst->outlier, false, now);
         px_conn_close(c);
     }
--- a/proxy/groups.c
+++ b/proxy/groups.c
@@ -48,7 +48,7 @@
 struct px_inst *px_primary(const struct px_group *g, int64_t now)
 {
     bool serves = g->cfg.phase == VW_SERVING && g->cfg.primary >= 0;
-    if (!serves || !px_leased(g->p) || now - g->primary_refused < DOUBT_US)
+    if (!serves || !px_leased(g->p) || now - g->primary_refused_at < DOUBT_US)
         return NULL;
     return g->inst[g->cfg.primary];
 }
@@ -95,7 +95,7 @@
             g->p->news = true;
         }
         in->cfg = v->inst[i];
-        in->at = i;
+        in->index = i;
         next[i] = in;
     }
     for (int i = 0; i < had; i++) {
@@ -121,13 +121,13 @@
     sync_instances(g, v);
     g->cfg = *v;
     if (new_term)
-        g->term_since = ck_now();
+        g->term_began_at = ck_now();
     if (new_term || new_phase) {
         FL_EVENT(&g->p->log, LG_INFO, "group_changed", "group=%s phase=%s term=%llu primary=%s",
                  v->name, vw_phase_name(v->phase), (unsigned long long)v->term,
                  v->primary >= 0 ? v->inst[v->primary].id : "-");
-        g->settle_by = v->phase == VW_HANDING ? ck_now() + SETTLE_US : 0;
-        g->primary_refused = 0;
+        g->settle_deadline = v->phase == VW_HANDING ? ck_now() + SETTLE_US : 0;
+        g->primary_refused_at = 0;
     }
     if (new_term) /* positions of another branch tell nothing of this one */
         g->rt.n_samples = 0;
@@ -177,7 +177,7 @@
     if (px_document_due(p))
         return false;
     for (int i = 0; i < p->n_groups; i++) {
-        if (p->groups[i]->settle_by)
+        if (p->groups[i]->settle_deadline)
             return false;
     }
     return true;
@@ -187,13 +187,13 @@
 {
     for (int i = 0; i < p->n_groups; i++) {
         struct px_group *g = p->groups[i];
-        if (g->settle_by && (px_heard(p) > g->settle_by || !at_primary(g)))
-            g->settle_by = 0;
+        if (g->settle_deadline && (px_heard(p) > g->settle_deadline || !at_primary(g)))
+            g->settle_deadline = 0;
         for (int k = 0; k < g->cfg.n; k++)
             px_inst_tick(g->inst[k], now);
     }
     for (struct px_inst *in = p->gone, *next; in; in = next) {
-        next = in->next_gone;
+        next = in->next_removed;
         px_inst_tick(in, now);
     }
 }
--- a/proxy/holders.c
+++ b/proxy/holders.c
@@ -106,10 +106,10 @@
         g->n_holders = ho_pick(p->nodes, p->n_nodes, g->cfg.name, k ? k : LEAST_HOLDERS, out);
         for (int h = 0; h < g->n_holders; h++)
             g->holders[h] = (uint16_t)out[h];
-        g->first = holds(p, g);
-        g->held = known && px_configured(p) && (k == 0 || g->first);
+        g->connects_first = holds(p, g);
+        g->held = known && px_configured(p) && (k == 0 || g->connects_first);
         if (held && !g->held)
-            g->let_go_at = ck_now();
+            g->released_at = ck_now();
         p->news = p->news || (g->held && !held);
         if (held != g->held || before != g->n_holders)
             FL_EVENT(&p->log, LG_INFO, "holding_changed",
--- a/proxy/neighbors.c
+++ b/proxy/neighbors.c
@@ -28,13 +28,13 @@
 enum nb_rank px_neighbor_rank(const struct px_proxy *p, const struct ho_node *node, int64_t now)
 {
     const struct px_neighbor *nb = find(p, node->name);
-    return nb ? nb_rank(&nb->b, now) : NB_FIRST;
+    return nb ? nb_rank(&nb->status, now) : NB_FIRST;
 }
 
 static bool passes_on(const struct px_neighbor *nb, int64_t now)
 {
-    return nb->passed_at && now - nb->passed_at < PX_PASSES_US &&
-           nb_rank(&nb->b, now) == NB_FIRST;
+    return nb->passed_on_at && now - nb->passed_on_at < PX_PASSES_US &&
+           nb_rank(&nb->status, now) == NB_FIRST;
 }
 
 bool px_neighbor_passes_on(const struct px_proxy *p, const struct ho_node *node, int64_t now)
@@ -81,26 +81,26 @@
 {
     for (struct px_neighbor *nb = p->neighbors; nb; nb = nb->next) {
         if (nb->n_relays > 0)
-            nb_doubt(&nb->b, ck_now());
+            nb_doubt(&nb->status, ck_now());
     }
 }
 
 static void trial_over(struct px_neighbor *nb, bool answered)
 {
-    enum nb_state before = nb->b.state;
-    nb_trial_over(&nb->b, answered, ck_now());
+    enum nb_state before = nb->status.state;
+    nb_trial_over(&nb->status, answered, ck_now());
     if (before == NB_DOUBTED && !answered)
         doubt_others(nb->p);
-    if (nb->b.state == before || (before == NB_DOUBTED && answered))
+    if (nb->status.state == before || (before == NB_DOUBTED && answered))
         return; /* a doubt that was none */
     FL_EVENT(&nb->p->log, LG_INFO, "neighbor_changed", "name=%s state=%s was=%s relayed=%d",
-             nb->name, state_names[nb->b.state], state_names[before], nb->n_relays);
+             nb->name, state_names[nb->status.state], state_names[before], nb->n_relays);
 }
 
 static void on_open(struct nt_conn *net, void *ud)
 {
     struct px_neighbor *nb = ud;
-    nb_tried(&nb->b, ck_now());
+    nb_tried(&nb->status, ck_now());
     px_relay_hello(nb->p, net, nb->database, nb->key, PX_HELLO_TRIAL);
 }
 
@@ -122,7 +122,7 @@
     (void)net;
     (void)refused;
     nb->trial = NULL;
-    trial_over(nb, opened && !nb_trial_late(&nb->b, px_heard(nb->p)));
+    trial_over(nb, opened && !nb_trial_late(&nb->status, px_heard(nb->p)));
 }
 
 static const struct nt_ops trial_ops = {on_open, on_message, on_close};
@@ -130,10 +130,10 @@
 static void try_it(struct px_neighbor *nb, int64_t now)
 {
     struct px_proxy *p = nb->p;
-    nb_tried(&nb->b, now);
+    nb_tried(&nb->status, now);
     p->c.trials++;
     nb->trial = nt_connect_stream(p->loop, nb->ip, nb->port, &trial_ops, nb);
-    px_meter(p, nb->trial, PX_TO_NODE, nb->domain);
+    px_meter(p, nb->trial, PX_PEER_NODE, nb->domain);
 }
 
 static void give_up_trial(struct px_neighbor *nb)
@@ -147,9 +147,9 @@
 {
     int64_t heard = px_heard(p);
     for (struct px_neighbor *nb = p->neighbors; nb; nb = nb->next) {
-        if (nb->trial && nb_trial_late(&nb->b, heard))
+        if (nb->trial && nb_trial_late(&nb->status, heard))
             give_up_trial(nb);
-        else if (nb_trial_due(&nb->b, now) && (nb->n_relays > 0 || listed(p, nb->name)))
+        else if (nb_trial_due(&nb->status, now) && (nb->n_relays > 0 || listed(p, nb->name)))
             try_it(nb, now);
     }
 }
@@ -171,6 +171,6 @@
 {
     int k = 0;
     for (const struct px_neighbor *nb = p->neighbors; nb; nb = nb->next)
-        k += nb->b.state == NB_SILENT;
+        k += nb->status.state == NB_SILENT;
     return k;
 }
--- a/proxy/outcome.c
+++ b/proxy/outcome.c
@@ -30,9 +30,9 @@
 /* This statement is not offered to the instance again, unless no other is left. */
 static void skip(struct px_session *s, const struct px_inst *in)
 {
-    if (in->gone)
+    if (in->removed)
         return; /* its place in the group is another's now */
-    s->skip |= 1u << in->at;
+    s->skip |= 1u << in->index;
 }
 
 static void note_behind(struct px_session *s, struct px_inst *in)
@@ -45,9 +45,9 @@
 /* The view's primary says that it is none. */
 static void note_no_primary(struct px_inst *in)
 {
-    if (in->gone)
+    if (in->removed)
         return;
-    in->group->primary_refused = ck_now();
+    in->group->primary_refused_at = ck_now();
     px_inst_suspect(in, WR_REFUSED);
 }
 
@@ -118,7 +118,7 @@
 {
     if (s->writes || s->stmt.verb == PX_V_COMMIT)
         return;
-    bool primary = !c->inst->gone && c->inst->at == c->inst->group->cfg.primary;
+    bool primary = !c->inst->removed && c->inst->index == c->inst->group->cfg.primary;
     s->p->c.reads_primary += primary;
     s->p->c.reads_replica += !primary;
 }
@@ -135,7 +135,7 @@
     px_end_work(s);
     if (s->txn != PX_IDLE && c->state != PX_IDLE) {
         s->conn = c;
-        c->phase = PX_C_RESTING;
+        c->phase = PX_C_IDLE_IN_TXN;
         px_answer(s, c);
         px_inst_pump(c->inst);
         return;
@@ -234,7 +234,7 @@
     s->conn = NULL;
     if (!c)
         return;
-    if (c->phase == PX_C_RESTING)
+    if (c->phase == PX_C_IDLE_IN_TXN)
         px_conn_rollback(c);
     else
         px_conn_orphan(c);
--- a/proxy/pool.c
+++ b/proxy/pool.c
@@ -36,31 +36,31 @@
 
 bool px_inst_has_room(const struct px_inst *in, int64_t now)
 {
-    bool may = now >= in->next_open && !in->cfg.draining && !in->gone;
+    bool may = now >= in->next_open_at && !in->cfg.draining && !in->removed;
     return may && in->n_conns < in->share &&
            px_full_may_open(&in->full, &in->p->fulls, in->n_conns, now);
 }
 
 void px_inst_want_first(struct px_inst *in, int64_t now)
 {
-    if (in->n_conns > 0 || in->share == 0 || in->wants_first || px_has_accounts(in->p))
+    if (in->n_conns > 0 || in->share == 0 || in->wants_first_conn || px_has_accounts(in->p))
         return; /* whose account will be asked for first is not known */
-    in->wants_first = true;
-    if (!in->group->first && in->next_open < now + FIRST_HEAD_US)
-        in->next_open = now + FIRST_HEAD_US;
+    in->wants_first_conn = true;
+    if (!in->group->connects_first && in->next_open_at < now + FIRST_HEAD_US)
+        in->next_open_at = now + FIRST_HEAD_US;
     else if (px_inst_has_room(in, now))
         px_conn_open(in, in->p->cfg.name);
 }
 
 void px_inst_lacks(struct px_inst *in, int64_t now)
 {
-    if (in->share > 0 || in->n_conns > 0 || in->cfg.draining || in->gone)
+    if (in->share > 0 || in->n_conns > 0 || in->cfg.draining || in->removed)
         return;
-    if (in->peak == 0)
-        in->peak = 1;
-    if (now - in->lacked_at < LACKS_EVERY_US)
+    if (in->peak_demand == 0)
+        in->peak_demand = 1;
+    if (now - in->share_requested_at < LACKS_EVERY_US)
         return;
-    in->lacked_at = now;
+    in->share_requested_at = now;
     in->p->news = true; /* with a renewal of its own */
 }
 
@@ -88,11 +88,11 @@
 
 bool px_inst_usable(const struct px_inst *in, int64_t now)
 {
-    if (in->cfg.draining || in->gone)
+    if (in->cfg.draining || in->removed)
         return false;
     if (in->n_conns > 0)
-        return !in->refused_at;
-    return in->share > 0 && now >= in->next_open;
+        return !in->connect_failed_at;
+    return in->share > 0 && now >= in->next_open_at;
 }
 
 /* ---- waiting for a connection ---- */
@@ -135,8 +135,8 @@
 static void note_demand(struct px_inst *in)
 {
     int want = in->busy + in->n_waiters;
-    if (want > in->peak)
-        in->peak = want;
+    if (want > in->peak_demand)
+        in->peak_demand = want;
 }
 
 static int opening(const struct px_inst *in)
@@ -192,7 +192,7 @@
         bool idle = c->phase == PX_C_IDLE && !c->closing;
         if (!idle || strcmp(c->account, account) == 0 || waited_for(in, c->account))
             continue;
-        spare[n] = (struct px_spare){c->used_at, idle_of(in, c->account)};
+        spare[n] = (struct px_spare){c->last_used_at, idle_of(in, c->account)};
         conns[n++] = c;
     }
     int i = px_fit_spare(spare, n);
@@ -216,7 +216,7 @@
         if (w == s)
             break;
     }
-    v.replaces = !v.room && now >= in->next_open && spare_conn(in, s->account) != NULL;
+    v.replaces = !v.room && now >= in->next_open_at && spare_conn(in, s->account) != NULL;
     return v;
 }
 
@@ -304,10 +304,10 @@
 void px_inst_suspect(struct px_inst *in, enum wr_health health)
 {
     int64_t now = ck_now();
-    bool primary = in->at == in->group->cfg.primary;
-    if (in->gone || !primary || now - in->told_at < SUSPECT_EVERY_US)
+    bool primary = in->index == in->group->cfg.primary;
+    if (in->removed || !primary || now - in->suspicion_sent_at < SUSPECT_EVERY_US)
         return;
-    in->told_at = now;
+    in->suspicion_sent_at = now;
     FL_EVENT(&in->p->log, LG_INFO, "instance_suspected", "instance=%s group=%s why=%s",
              in->cfg.id, in->group->cfg.name,
              health == WR_REFUSED ? "refuses"
@@ -322,8 +322,8 @@
 {
     int64_t heard = px_heard(in->p);
     for (const struct px_conn *c = in->conns; c; c = c->next) {
-        bool out = c->phase != PX_C_IDLE && c->phase != PX_C_RESTING;
-        if (out && heard - c->sent_at > QUIET_US && in->heard < c->sent_at)
+        bool out = c->phase != PX_C_IDLE && c->phase != PX_C_IDLE_IN_TXN;
+        if (out && heard - c->sent_at > QUIET_US && in->last_received < c->sent_at)
             return true;
     }
     return false;
@@ -335,7 +335,7 @@
     int64_t heard = px_heard(in->p);
     for (const struct px_conn *c = in->conns; c; c = c->next) {
         bool late = c->phase == PX_C_OPENING && heard - c->sent_at > SILENT_US;
-        if (late && in->heard < c->sent_at)
+        if (late && in->last_received < c->sent_at)
             return true;
     }
     return false;
@@ -359,25 +359,26 @@
 static void note_alone(struct px_inst *in, int64_t now)
 {
     if (!fails_alone(in, now))
-        in->alone_since = 0;
-    else if (!in->alone_since)
-        in->alone_since = now;
+        in->outlier_since = 0;
+    else if (!in->outlier_since)
+        in->outlier_since = now;
 }
 
 /* It has failed alone for so long that others, if they fail as well, would have shown it. */
 static bool outlived_doubt(const struct px_inst *in)
 {
-    return in->alone_since && px_heard(in->p) - in->alone_since > ALONE_US;
+    return in->outlier_since && px_heard(in->p) - in->outlier_since > ALONE_US;
 }
 
 static bool is_behind(const struct px_inst *in, int64_t heard)
 {
-    return heard - in->behind_until < BEHIND_GAP_US && heard - in->served_at > BEHIND_GAP_US;
+    return heard - in->behind_until < BEHIND_GAP_US &&
+           heard - in->read_served_at > BEHIND_GAP_US;
 }
 
 static struct px_relief_view relief_view(const struct px_group *g)
 {
-    struct px_relief_view v = {.refused_at = g->refused_at, .term_since = g->term_since};
+    struct px_relief_view v = {.refused_at = g->wait_failed_at, .term_since = g->term_began_at};
     for (int i = 0; i < g->cfg.n; i++) {
         if (i == g->cfg.primary || g->cfg.inst[i].draining)
             continue;
@@ -397,7 +398,7 @@
 static bool serves_alone(const struct px_inst *in)
 {
     struct px_relief_view v = relief_view(in->group);
-    return in->at == in->group->cfg.primary && px_relief_alone(&v);
+    return in->index == in->group->cfg.primary && px_relief_alone(&v);
 }
 
 enum wr_health px_health(const struct px_proxy *p, struct sr_str id)
@@ -406,17 +407,17 @@
     int64_t now = ck_now();
     if (!in)
         return WR_UNKNOWN;
-    if (in->refused_at)
+    if (in->connect_failed_at)
         return WR_REFUSED;
     if (silent(in) || outlived_doubt(in))
         return WR_SILENT;
-    if (in->unfit)
+    if (in->wants_handover)
         return WR_UNFIT;
     if (px_outlier_failing(&in->outlier, now))
         return WR_UNKNOWN; /* no better one is known */
     if (serves_alone(in))
         return WR_UNKNOWN;
-    return now - in->heard < FRESH_US ? WR_OK : WR_UNKNOWN;
+    return now - in->last_received < FRESH_US ? WR_OK : WR_UNKNOWN;
 }
 
 /* ---- time ---- */
@@ -424,7 +425,7 @@
 /* Above the share: idle ones go first. An instance that leaves keeps none. */
 static void shed(struct px_inst *in)
 {
-    int keep = in->cfg.draining || in->gone ? 0 : in->share;
+    int keep = in->cfg.draining || in->removed ? 0 : in->share;
     int over = in->n_conns - keep;
     for (struct px_conn *c = in->conns; c && over > 0; c = c->next) {
         if (c->phase != PX_C_IDLE || c->closing)
@@ -441,19 +442,19 @@
     shed(in);
     px_inst_pump(in);
     open_for_waiters(in, now);
-    if (in->wants_first && in->n_conns == 0 && px_inst_has_room(in, now))
+    if (in->wants_first_conn && in->n_conns == 0 && px_inst_has_room(in, now))
         px_conn_open(in, in->p->cfg.name);
     /* One more than the share, to learn whether it is there: refused, it is. */
-    bool ask = in->asks || quiet(in);
-    in->asks = false;
-    if (ask && opening(in) == 0 && now >= in->next_open && !in->gone)
+    bool ask = in->wants_probe || quiet(in);
+    in->wants_probe = false;
+    if (ask && opening(in) == 0 && now >= in->next_open_at && !in->removed)
         px_conn_open(in, in->waiters ? in->waiters->account : in->last_account);
     note_alone(in, now);
-    bool leads = !in->gone && in->at == in->group->cfg.primary;
-    in->unfit = leads && needs_relief(in);
+    bool leads = !in->removed && in->index == in->group->cfg.primary;
+    in->wants_handover = leads && needs_relief(in);
     if (silent(in) || outlived_doubt(in))
         px_inst_suspect(in, WR_SILENT);
-    else if (in->unfit)
+    else if (in->wants_handover)
         px_inst_suspect(in, WR_UNFIT);
 }
 
@@ -461,8 +462,8 @@
 
 void px_inst_gone(struct px_inst *in)
 {
-    in->gone = true;
-    in->next_gone = in->p->gone;
+    in->removed = true;
+    in->next_removed = in->p->gone;
     in->p->gone = in;
     while (in->waiters) {
         struct px_session *s = in->waiters;
@@ -476,11 +477,11 @@
 void px_inst_maybe_free(struct px_inst *in)
 {
     struct px_inst **at = &in->p->gone;
-    if (!in->gone || in->n_conns > 0)
+    if (!in->removed || in->n_conns > 0)
         return;
     while (*at && *at != in)
-        at = &(*at)->next_gone;
+        at = &(*at)->next_removed;
     if (*at)
-        *at = in->next_gone;
+        *at = in->next_removed;
     free(in);
 }
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -29,14 +29,14 @@
 struct px_group;
 
 /* What a connection to an instance is at. */
-enum px_phase {
+enum px_conn_phase {
     PX_C_OPENING,
     PX_C_IDLE,
-    PX_C_SETUP,   /* a statement of our own is out, for the session's next one */
-    PX_C_RUNNING, /* the session's statement is out */
-    PX_C_RESTING, /* in a session's transaction, between two statements */
-    PX_C_ENDING,  /* our own rollback is out */
-    PX_C_ORPHAN,  /* an answer is out that nobody waits for any more */
+    PX_C_SETUP,        /* a statement of our own is out, for the session's next one */
+    PX_C_RUNNING,      /* the session's statement is out */
+    PX_C_IDLE_IN_TXN,  /* in a session's transaction, between two statements */
+    PX_C_ROLLING_BACK, /* our own rollback is out */
+    PX_C_ORPHANED,     /* an answer is out that nobody waits for any more */
 };
 
 /* A connection to an instance. */
@@ -47,8 +47,8 @@
     struct sr_buf in; /* what has come and is not taken yet */
     bool closing;
     char account[AC_NAME]; /* it was opened for; px_identify */
-    int64_t used_at;       /* a statement was sent on it last, or it was opened */
-    enum px_phase phase;
+    int64_t last_used_at;  /* a statement was sent on it last, or it was opened */
+    enum px_conn_phase phase;
     struct px_session *session; /* it works for, or that has its transaction here */
     struct px_applied applied;
 
@@ -62,7 +62,7 @@
     /* the answer as far as it has come */
     struct sr_buf rows; /* as they go to the caller */
     struct sr_buf signature;
-    bool done; /* PX_DONE has come */
+    bool complete_seen; /* PX_DONE has come */
     enum er_kind error;
     char detail[160]; /* of the error; longer ones are cut */
     enum px_txn state;
@@ -74,22 +74,23 @@
 struct px_inst {
     struct px_proxy *p;
     struct px_group *group;
-    int at; /* index in the group */
+    int index; /* index in the group */
     struct vw_instance cfg;
-    bool gone; /* not in the view any more: freed with its last connection */
-    struct px_inst *next_gone;
+    bool removed; /* not in the view any more: freed with its last connection */
+    struct px_inst *next_removed;
 
     /* connections */
     struct px_conn *conns;
     int n_conns;
-    int share;          /* how many this node may have */
-    int busy;           /* connections that are neither opening nor idle */
-    int named;          /* renewals that name it still */
-    int peak;           /* the most that were busy or waited for, lately */
-    int64_t next_open;  /* no new connection before */
-    bool wants_first;   /* a connection is to be opened before anybody waits for it */
-    int64_t lacked_at;  /* a statement found that there is no share, and asked for one */
-    int64_t full_since; /* it has refused connections as too many since; 0: it has not */
+    int share;             /* how many this node may have */
+    int busy;              /* connections that are neither opening nor idle */
+    int renewals_left;     /* renewals that name it still */
+    int peak_demand;       /* the most that were busy or waited for, lately */
+    int64_t next_open_at;  /* no new connection before */
+    bool wants_first_conn; /* a connection is to be opened before anybody waits for it */
+    int64_t
+        share_requested_at; /* a statement found that there is no share, and asked for one */
+    int64_t too_many_since; /* it has refused connections as too many since; 0: it has not */
     struct px_full full;
     int replaced;               /* connections closed for those of other accounts, lately */
     char last_account[AC_NAME]; /* the last connection was opened for */
@@ -99,21 +100,21 @@
     int n_waiters;
 
     /* whether it is there */
-    int64_t heard;      /* last sign of life */
-    int64_t refused_at; /* a connect was refused; 0: heard since */
-    bool asks;          /* a good connection was lost: another is to tell whether it is there */
-    int64_t told_at;    /* a suspicion, to the entry role */
+    int64_t last_received;     /* last sign of life */
+    int64_t connect_failed_at; /* a connect was refused; 0: heard since */
+    bool wants_probe; /* a good connection was lost: another is to tell whether it is there */
+    int64_t suspicion_sent_at; /* a suspicion, to the entry role */
 
     /* how it serves */
     struct px_window window;
     struct px_outlier outlier;
-    bool unfit;           /* the primary, and should hand over */
-    int64_t alone_since;  /* it fails much and others of its group do not; 0: not so */
-    int64_t service_us;   /* smoothed time of a statement */
-    double pace;          /* times what its statements take elsewhere; px_pace */
-    struct ps_pos known;  /* its log held this when it was heard last */
-    int64_t behind_until; /* it lacked a position; not asked for one like it before */
-    int64_t served_at;    /* it served a read */
+    bool wants_handover;     /* the primary, and should hand over */
+    int64_t outlier_since;   /* it fails much and others of its group do not; 0: not so */
+    int64_t service_us;      /* smoothed time of a statement */
+    double pace;             /* times what its statements take elsewhere; px_pace */
+    struct ps_pos known_pos; /* its log held this when it was heard last */
+    int64_t behind_until;    /* it lacked a position; not asked for one like it before */
+    int64_t read_served_at;  /* it served a read */
 };
 
 /* A group of the view. */
@@ -123,9 +124,9 @@
     struct px_inst *inst[VW_MAX_INSTANCES]; /* indexed like cfg.inst */
     struct px_pace pace;
     struct rt_group rt; /* samples of the primary's position; the rest is not used */
-    bool held;  /* this node has connections to its instances; else sessions go to a holder */
-    bool first; /* this node is among `holders` */
-    int64_t let_go_at; /* this node ceased to hold it */
+    bool held; /* this node has connections to its instances; else sessions go to a holder */
+    bool connects_first; /* this node is among `holders` */
+    int64_t released_at; /* this node ceased to hold it */
     /* In the proxy's nodes: those that hold it, or where all do, those that connect first. */
     int n_holders;
     uint16_t holders[HO_MAX_HOLDERS];
@@ -133,10 +134,10 @@
      * is asked for. */
     struct sp_place *places;
     struct px_relief relief;
-    int64_t refused_at;      /* a statement waited for its primary in vain */
-    int64_t term_since;      /* this node acts on its term */
-    int64_t settle_by;       /* planned change: what runs at the primary may end until then */
-    int64_t primary_refused; /* the view's primary said that it is none: not asked before */
+    int64_t wait_failed_at;  /* a statement waited for its primary in vain */
+    int64_t term_began_at;   /* this node acts on its term */
+    int64_t settle_deadline; /* planned change: what runs at the primary may end until then */
+    int64_t primary_refused_at; /* the view's primary said that it is none: not asked before */
 };
 
 /* What a session's statement waits for. */
@@ -242,7 +243,7 @@
 };
 
 /* Whom bytes are exchanged with, beside callers. */
-enum px_peer { PX_TO_INSTANCE, PX_TO_NODE, PX_PEERS };
+enum px_peer_kind { PX_PEER_INSTANCE, PX_PEER_NODE, PX_PEERS };
 enum { PX_DISTANCES = 3 }; /* rt_distance: the same failure domain, another, another region */
 
 /* Another entry node that sessions are or were relayed to. */
@@ -252,8 +253,8 @@
     char name[32], ip[46], domain[32];
     int port;
     int n_relays; /* that name it */
-    struct nb_neighbor b;
-    int64_t passed_at; /* it passed a session on to a holder that we did not reach */
+    struct nb_neighbor status;
+    int64_t passed_on_at; /* it passed a session on to a holder that we did not reach */
     struct nt_conn *trial;
     char database[CG_NAME]; /* of the last session that went there: what a trial asks for */
     char key[AC_KEY];
@@ -338,7 +339,8 @@
 };
 
 /* Count the bytes of a connection to an instance or node in that failure domain. */
-void px_meter(struct px_proxy *p, struct nt_conn *net, enum px_peer to, const char *domain);
+void px_meter(struct px_proxy *p, struct nt_conn *net, enum px_peer_kind to,
+              const char *domain);
 
 /* answer.c: what callers are told */
 void px_greet(struct px_session *s);
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -62,7 +62,7 @@
     if (!in->group->held || !px_has_accounts(in->p))
         return 0;
     for (const struct px_conn *c = in->conns; c; c = c->next)
-        k += !c->closing && now - c->used_at < KEEP_US;
+        k += !c->closing && now - c->last_used_at < KEEP_US;
     return k;
 }
 
@@ -75,12 +75,13 @@
      * without connections of theirs 50 statements in 2 s ran into their time limit while 42 of
      * 76 nodes were restarted in turn. */
     int next = in->group->held ? 1 + in->replaced : 0;
-    int want = in->cfg.draining ? 0 : (used > in->peak ? used : in->peak) + next;
+    int want = in->cfg.draining ? 0 : (used > in->peak_demand ? used : in->peak_demand) + next;
     in->replaced -= (in->replaced + 3) / 4;
     *out = (struct wr_share){sr_from(in->cfg.id), (uint32_t)held, (uint32_t)want};
-    in->peak -= (in->peak + 3) / 4; /* demand is forgotten slowly: a share costs time to get */
-    if (in->peak < in->busy + in->n_waiters)
-        in->peak = in->busy + in->n_waiters;
+    in->peak_demand -=
+        (in->peak_demand + 3) / 4; /* demand is forgotten slowly: a share costs time to get */
+    if (in->peak_demand < in->busy + in->n_waiters)
+        in->peak_demand = in->busy + in->n_waiters;
 }
 
 uint32_t px_wants(struct px_proxy *p, struct wr_share *out, uint32_t cap)
@@ -90,7 +91,7 @@
         for (int i = 0; i < p->groups[g]->cfg.n && k < cap; i++) {
             struct px_inst *in = p->groups[g]->inst[i];
             add_want(in, &out[k]);
-            if (sh_to_name(&in->named, out[k].held, out[k].want))
+            if (sh_to_name(&in->renewals_left, out[k].held, out[k].want))
                 k++;
         }
     }
@@ -215,7 +216,7 @@
     sr_buf_printf(out, "ferry_session_%s_us_count %llu\n", name, (unsigned long long)h->count);
 }
 
-void px_meter(struct px_proxy *p, struct nt_conn *net, enum px_peer to, const char *domain)
+void px_meter(struct px_proxy *p, struct nt_conn *net, enum px_peer_kind to, const char *domain)
 {
     nt_meter(net, &p->traffic[to][rt_distance(p->cfg.domain, domain)]);
 }
--- a/proxy/relay.c
+++ b/proxy/relay.c
@@ -100,7 +100,7 @@
         return true;
     if (g->held && px_has_accounts(s->p))
         return !px_serves_account(s, g);
-    return !g->held || (!g->first && !px_reaches(g));
+    return !g->held || (!g->connects_first && !px_reaches(g));
 }
 
 /* ---- the other node ---- */
@@ -273,7 +273,7 @@
     p->c.by_others += r->by_other;
     p->c.passed_on += r->s->came_relayed;
     if (r->by_other)
-        r->nb->passed_at = ck_now();
+        r->nb->passed_on_at = ck_now();
     send_early(r);
 }
 
@@ -281,7 +281,7 @@
 {
     struct px_relay *r = ud;
     struct sr_str last;
-    nb_heard(&r->nb->b, ck_now());
+    nb_heard(&r->nb->status, ck_now());
     if (r->left)
         return; /* what it answers now the caller was told of already */
     sr_buf_add(&r->in, data, len);
@@ -313,17 +313,17 @@
 {
     int64_t now = ck_now();
     if (r->by_other)
-        nb_refused(&r->nb->b, NO_WAY_US, now);
+        nb_refused(&r->nb->status, NO_WAY_US, now);
     else if (!opened || r->late)
-        nb_doubt(&r->nb->b, now);
+        nb_doubt(&r->nb->status, now);
     else
-        nb_refused(&r->nb->b, REFUSED_US, now);
+        nb_refused(&r->nb->status, REFUSED_US, now);
 }
 
 /* The connection is gone, and the session there with it. */
 static void lost(struct px_relay *r)
 {
-    nb_doubt(&r->nb->b, ck_now());
+    nb_doubt(&r->nb->status, ck_now());
     if (r->left || !r->s->net || r->s->left_at)
         return;
     if (r->asked) {
@@ -395,7 +395,7 @@
     r->in.len = 0;
     r->began = now;
     r->net = nt_connect_stream(p->loop, node->ip, node->port, &ops, r);
-    px_meter(p, r->net, PX_TO_NODE, node->domain);
+    px_meter(p, r->net, PX_PEER_NODE, node->domain);
 }
 
 /* ---- the session's side ---- */
@@ -441,7 +441,7 @@
         sr_buf_add(&s->in, data, len);
         return;
     }
-    if (r->greeted && r->nb->b.state == NB_SILENT && !r->asked) {
+    if (r->greeted && r->nb->status.state == NB_SILENT && !r->asked) {
         unsent(r, data, len);
         return;
     }
@@ -486,7 +486,7 @@
     if (r->asked) {
         if (px_question_harmless(&r->q) || px_heard(s->p) - r->asked_at > longest_wait(s))
             tell_unanswered(r, true, PX_END_SILENT);
-    } else if (r->rests && now - r->nb->b.silent_at > px_turn(s, MOVE_OVER_US)) {
+    } else if (r->rests && now - r->nb->status.silent_at > px_turn(s, MOVE_OVER_US)) {
         leave(r, PX_END_SILENT);
     }
 }
@@ -496,8 +496,8 @@
     if (r->left || !r->s->net)
         return;
     if (r->asked)
-        nb_waits(&r->nb->b, r->asked_at, px_heard(r->s->p));
-    if (r->nb->b.state == NB_SILENT)
+        nb_waits(&r->nb->status, r->asked_at, px_heard(r->s->p));
+    if (r->nb->status.state == NB_SILENT)
         leave_silent(r, now);
 }
 
@@ -527,7 +527,7 @@
     }
     int64_t heard = px_heard(s->p);
     if (!r->by_other)
-        nb_waits(&r->nb->b, r->began, heard);
-    if (heard - r->began > GREET_US || r->nb->b.state == NB_SILENT)
+        nb_waits(&r->nb->status, r->began, heard);
+    if (heard - r->began > GREET_US || r->nb->status.state == NB_SILENT)
         greeting_late(r, now);
 }
--- a/proxy/session.c
+++ b/proxy/session.c
@@ -264,7 +264,7 @@
         return;
     if (s->p->stopping && !s->came_relayed)
         return; /* the balancer would send its caller here again: stop_tick */
-    if (now - g->let_go_at > px_turn(s, CUT_OFF_CLOSE_OVER_US))
+    if (now - g->released_at > px_turn(s, CUT_OFF_CLOSE_OVER_US))
         px_end_resting(s, PX_END_ELSEWHERE);
 }
 
--- a/proxy/work.c
+++ b/proxy/work.c
@@ -89,15 +89,15 @@
     bool accounts = px_has_accounts(in->p);
     bool idle = accounts ? px_inst_ready(in, s) : in->n_conns > in->busy;
     return (struct px_candidate){
-        .usable = px_inst_usable(in, now) && !(s->skip & (1u << in->at)),
-        .primary = in->at == g->cfg.primary,
+        .usable = px_inst_usable(in, now) && !(s->skip & (1u << in->index)),
+        .primary = in->index == g->cfg.primary,
         .free_conn = idle || (!accounts && px_inst_has_room(in, now)),
         /* A transaction that rests between two statements holds a connection, but no slot. */
         .waiting = px_inst_running(in) + in->n_waiters,
         .service_us = px_pace_expect(&g->pace, s->kind, in->pace),
         .fail_rate = px_outlier_rate(&in->outlier, now),
         .distance = rt_distance(s->p->cfg.domain, in->cfg.domain),
-        .known = in->known,
+        .known = in->known_pos,
         .behind_until = in->behind_until,
     };
 }
@@ -200,7 +200,7 @@
         return;
     if (c->phase != PX_C_RUNNING || px_heard(s->p) - s->sent_at < patience(s))
         return;
-    s->skip |= 1u << c->inst->at;
+    s->skip |= 1u << c->inst->index;
     s->conn = NULL;
     px_conn_orphan(c);
     px_try_again(s, 0, true);
@@ -216,8 +216,8 @@
 static void wait_tick(struct px_session *s, int64_t now)
 {
     if (px_heard(s->p) - s->arrived > longest_wait(s)) {
-        if (s->inst->at == s->inst->group->cfg.primary)
-            s->inst->group->refused_at = now;
+        if (s->inst->index == s->inst->group->cfg.primary)
+            s->inst->group->wait_failed_at = now;
         px_refuse(s, ER_OVERLOAD, "no connection to the database is free; retry in 100 ms");
         return;
     }
