--- a/proxy/answer.c
+++ b/proxy/answer.c
@@ -35,7 +35,7 @@
 static void note_failure(struct px_session *s, enum er_kind kind, const char *detail)
 {
     struct px_proxy *p = s->p;
-    const struct px_group *g = px_group_of(s);
+    const struct px_group *g = px_session_group(s);
     p->c.failed++;
     p->c.by_reason[kind]++;
     if (!may_log(p))
--- a/proxy/conn.c
+++ b/proxy/conn.c
@@ -5,15 +5,16 @@
 #include "proxy/priv.h"
 
 enum {
-    OPEN_US = 1000000,  /* an instance that does not greet by then is tried anew */
-    ORPHAN_US = 400000, /* an answer that is later is taken for lost: its connection goes */
-    RETRY_US = 100000,  /* after a connect that failed */
+    GREETING_TIMEOUT_US = 1000000, /* an instance that does not greet by then is tried anew */
+    ORPHAN_TIMEOUT_US =
+        400000, /* an answer that is later is taken for lost: its connection goes */
+    CONNECT_RETRY_US = 100000, /* after a connect that failed */
     /* The instance has no connection free: others must close some. Soon asked again while dark
      * connections of lost VMs may be what fills it: it drops them within 3 s (users' pages),
      * and what is free then should not lie idle. */
-    TOO_MANY_US = 400000,
-    TOO_MANY_SOON_US = 60000,
-    DARK_US = 3500000,
+    TOO_MANY_RETRY_US = 400000,
+    TOO_MANY_EARLY_RETRY_US = 60000,
+    STALE_CONNS_US = 3500000,
 };
 
 /* ---- sending ---- */
@@ -34,8 +35,8 @@
     return ok;
 }
 
-static bool send_own(struct px_conn *c, const struct px_stmt *st, bool has_floor,
-                     struct ps_pos floor)
+static bool send_own_stmt(struct px_conn *c, const struct px_stmt *st, bool has_floor,
+                          struct ps_pos floor)
 {
     struct sr_buf text = {0};
     c->inst->p->cfg.codec->put_text(&text, st);
@@ -48,7 +49,7 @@
 
 /* ---- the session's statement ---- */
 
-static const struct px_prepared *runs_prepared(const struct px_session *s)
+static const struct px_prepared *prepared_to_execute(const struct px_session *s)
 {
     if (s->stmt.verb != PX_V_EXECUTE)
         return NULL;
@@ -58,7 +59,7 @@
 static bool send_statement(struct px_conn *c, struct px_session *s)
 {
     struct sr_buf text = {0};
-    const struct px_prepared *run = runs_prepared(s);
+    const struct px_prepared *prepared = prepared_to_execute(s);
     /* A transaction saw the floor when it began. */
     bool floor = s->has_floor && s->txn == PX_IDLE;
     struct px_msg m = {.kind = PX_STATEMENT,
@@ -66,9 +67,9 @@
                        .text = s->text,
                        .has_floor = floor,
                        .pos = s->floor};
-    if (run) { /* its name is ours here */
+    if (prepared) { /* its name is ours here */
         struct px_stmt st = s->stmt;
-        st.name = sr_from(px_name_on(&c->applied, run));
+        st.name = sr_from(px_name_on(&c->applied, prepared));
         c->inst->p->cfg.codec->put_text(&text, &st);
         m.text = (struct sr_str){text.p, text.len};
     }
@@ -89,20 +90,21 @@
 /* The next of our own statements that the session's needs; false: none. */
 static bool send_setup(struct px_conn *c, struct px_session *s, bool *sent)
 {
-    if (px_next_setup(&s->state, &c->applied, runs_prepared(s), c->setup_name, &c->setup)) {
+    if (px_next_setup(&s->state, &c->applied, prepared_to_execute(s), c->setup_name,
+                      &c->setup)) {
         c->phase = PX_C_SETUP;
-        *sent = send_own(c, &c->setup, false, s->floor);
+        *sent = send_own_stmt(c, &c->setup, false, s->floor);
         return true;
     }
     if (s->txn == PX_IDLE || s->begun)
         return false;
     c->setup = (struct px_stmt){.verb = PX_V_BEGIN, .read_only = s->read_only};
     c->phase = PX_C_SETUP;
-    *sent = send_own(c, &c->setup, s->has_floor, s->floor);
+    *sent = send_own_stmt(c, &c->setup, s->has_floor, s->floor);
     return true;
 }
 
-static void advance(struct px_conn *c)
+static void send_next(struct px_conn *c)
 {
     struct px_session *s = c->session;
     bool sent = true;
@@ -121,7 +123,7 @@
     s->inst = c->inst;
     s->stage = PX_S_AT_INSTANCE;
     px_part_done(s, PX_T_WAIT);
-    advance(c);
+    send_next(c);
 }
 
 /* ---- ending ---- */
@@ -132,7 +134,7 @@
         c->inst->busy--;
     c->phase = PX_C_IDLE;
     c->session = NULL;
-    px_inst_pump(c->inst);
+    px_inst_serve_waiters(c->inst);
 }
 
 void px_conn_rollback(struct px_conn *c)
@@ -141,7 +143,7 @@
     struct ps_pos none = {0};
     c->session = NULL;
     c->phase = PX_C_ROLLING_BACK;
-    if (!send_own(c, &st, false, none))
+    if (!send_own_stmt(c, &st, false, none))
         px_conn_close(c);
 }
 
@@ -168,7 +170,7 @@
 
 /* ---- reading ---- */
 
-static void hear(struct px_conn *c)
+static void note_received(struct px_conn *c)
 {
     c->inst->last_received = ck_now();
     c->inst->connect_failed_at = 0;
@@ -188,7 +190,7 @@
         rt_primary_at(&in->group->rt, c->sent_at, c->pos);
 }
 
-static void note_time(struct px_conn *c)
+static void note_service_time(struct px_conn *c)
 {
     enum { WEIGHT = 8 };
     int64_t us = ck_now() - c->sent_at;
@@ -213,7 +215,7 @@
         px_outlier_note(&c->inst->outlier, !failed, ck_now());
 }
 
-static int open_conns(const struct px_inst *in)
+static int count_open(const struct px_inst *in)
 {
     int k = 0;
     for (const struct px_conn *c = in->conns; c; c = c->next)
@@ -221,21 +223,21 @@
     return k;
 }
 
-static void opened(struct px_conn *c)
+static void handle_opened(struct px_conn *c)
 {
     struct px_inst *in = c->inst;
     c->phase = PX_C_IDLE;
-    px_full_accepted(&in->full, &in->p->fulls, open_conns(in), ck_now());
+    px_full_accepted(&in->full, &in->p->fulls, count_open(in), ck_now());
     in->too_many_since = 0;
     in->wants_first_conn = false;
     in->p->c.opened++;
-    px_inst_pump(in);
+    px_inst_serve_waiters(in);
 }
 
 /* What the session's statement needed first was refused. A BEGIN leaves the connection as it
  * was; after another the connection's state is not known, and with it goes the transaction that
  * may be open on it. */
-static void setup_refused(struct px_conn *c, struct px_session *s)
+static void handle_setup_error(struct px_conn *c, struct px_session *s)
 {
     enum er_kind why = c->error;
     bool begin = c->setup.verb == PX_V_BEGIN && c->state == PX_IDLE;
@@ -251,30 +253,30 @@
         px_not_sent(s, c, why);
 }
 
-static void setup_answered(struct px_conn *c)
+static void handle_setup_answer(struct px_conn *c)
 {
     struct px_session *s = c->session;
     if (c->error != ER_NONE) {
-        setup_refused(c, s);
+        handle_setup_error(c, s);
         return;
     }
     if (c->setup.verb == PX_V_BEGIN)
         s->begun = true;
     else
         px_setup_done(&s->state, &c->applied, &c->setup);
-    advance(c);
+    send_next(c);
 }
 
 /* An end without COMPLETE or ERROR: the answer broke off, and what ran is not known. */
-static bool broke_off(const struct px_conn *c)
+static bool is_incomplete(const struct px_conn *c)
 {
     return c->phase != PX_C_OPENING && !c->complete_seen && c->error == ER_NONE;
 }
 
 /* A whole answer is there: its READY has come. */
-static void complete(struct px_conn *c)
+static void handle_answer(struct px_conn *c)
 {
-    if (broke_off(c)) {
+    if (is_incomplete(c)) {
         px_outlier_note(&c->inst->outlier, false, ck_now());
         FL_EVENT(&c->inst->p->log, LG_INFO, "answer_broke_off", "instance=%s group=%s",
                  c->inst->cfg.id, c->inst->group->cfg.name);
@@ -284,13 +286,13 @@
     note_position(c);
     switch (c->phase) {
     case PX_C_OPENING:
-        opened(c);
+        handle_opened(c);
         break;
     case PX_C_SETUP:
-        setup_answered(c);
+        handle_setup_answer(c);
         break;
     case PX_C_RUNNING:
-        note_time(c);
+        note_service_time(c);
         note_outcome(c);
         px_part_done(c->session, PX_T_INSTANCE);
         px_answered(c->session, c);
@@ -314,7 +316,7 @@
 }
 
 /* Nothing of an open connection's refusal is the session's: the next is opened later. */
-static void open_refused(struct px_conn *c, const struct px_msg *m)
+static void handle_open_error(struct px_conn *c, const struct px_msg *m)
 {
     struct px_inst *in = c->inst;
     int64_t now = ck_now();
@@ -323,10 +325,12 @@
         in->too_many_since = 0;
     else if (!in->too_many_since)
         in->too_many_since = now;
-    bool soon = full && now - in->too_many_since < DARK_US;
-    int open = open_conns(in);
-    in->next_open_at = now + (soon ? TOO_MANY_SOON_US : full ? TOO_MANY_US : RETRY_US);
-    if (soon && open > 0 && px_has_accounts(in->p)) { /* they take turns on those */
+    bool early = full && now - in->too_many_since < STALE_CONNS_US;
+    int open = count_open(in);
+    in->next_open_at = now + (early  ? TOO_MANY_EARLY_RETRY_US
+                              : full ? TOO_MANY_RETRY_US
+                                     : CONNECT_RETRY_US);
+    if (early && open > 0 && px_has_accounts(in->p)) { /* they take turns on those */
         px_full_refused(&in->full, &in->p->fulls, open, now);
         in->next_open_at = now;
     }
@@ -335,7 +339,7 @@
     px_conn_close(c);
 }
 
-static void take(struct px_conn *c, const struct px_msg *m)
+static void handle_msg(struct px_conn *c, const struct px_msg *m)
 {
     const struct px_codec *codec = c->inst->p->cfg.codec;
     switch (m->kind) {
@@ -349,7 +353,7 @@
         break;
     case PX_FAILURE:
         if (c->phase == PX_C_OPENING) {
-            open_refused(c, m);
+            handle_open_error(c, m);
             break;
         }
         c->error = m->error;
@@ -359,7 +363,7 @@
         c->state = m->txn;
         c->has_pos = m->has_pos;
         c->pos = m->pos;
-        complete(c);
+        handle_answer(c);
         break;
     default:
         FL_WARN(&c->inst->p->log, "instance %s sent no message of the protocol; closing",
@@ -374,10 +378,10 @@
     struct px_msg m;
     size_t at = 0;
     (void)net;
-    hear(c);
+    note_received(c);
     sr_buf_add(&c->in, data, len);
     while (!c->closing && px_next_msg(c->inst->p->cfg.codec, &c->in, &at, &m))
-        take(c, &m);
+        handle_msg(c, &m);
     px_consume(&c->in, at);
     if (c->in.len > PX_MAX_LINE)
         px_conn_close(c);
@@ -416,7 +420,7 @@
 
 /* A connection that was not greeted tells that nobody is there. One that was good tells little:
  * an instance may reset it in place of an answer; a new one will tell. */
-static void closed_by_instance(struct px_conn *c, bool refused)
+static void handle_instance_close(struct px_conn *c, bool refused)
 {
     struct px_inst *in = c->inst;
     if (c->phase != PX_C_OPENING) {
@@ -425,8 +429,8 @@
         return;
     }
     in->connect_failed_at = ck_now();
-    in->next_open_at = ck_now() + RETRY_US;
-    px_inst_suspect(in, refused ? WR_REFUSED : WR_SILENT);
+    in->next_open_at = ck_now() + CONNECT_RETRY_US;
+    px_inst_report_suspicion(in, refused ? WR_REFUSED : WR_SILENT);
 }
 
 static void on_close(struct nt_conn *net, void *ud, bool was_open, bool refused)
@@ -441,17 +445,17 @@
     if (!c->closing && c->phase == PX_C_RUNNING)
         px_outlier_note(&in->outlier, false, ck_now());
     if (!c->closing)
-        closed_by_instance(c, refused);
+        handle_instance_close(c, refused);
     if (s) {
         s->conn = NULL;
         px_lost(s, c, c->phase == PX_C_RUNNING);
     }
     conn_free(c);
-    px_inst_pump(in);
-    px_inst_maybe_free(in);
+    px_inst_serve_waiters(in);
+    px_inst_free_if_removed(in);
 }
 
-static const struct nt_ops ops = {on_open, on_message, on_close};
+static const struct nt_ops conn_ops = {on_open, on_message, on_close};
 
 void px_conn_open(struct px_inst *in, const char *account)
 {
@@ -466,7 +470,7 @@
     c->next = in->conns;
     in->conns = c;
     in->n_conns++;
-    c->net = nt_connect_stream(in->p->loop, in->cfg.ip, in->cfg.port, &ops, c);
+    c->net = nt_connect_stream(in->p->loop, in->cfg.ip, in->cfg.port, &conn_ops, c);
     px_meter(in->p, c->net, PX_PEER_INSTANCE, in->cfg.domain);
 }
 
@@ -475,12 +479,12 @@
     int64_t silent_us = px_heard(c->inst->p) - c->sent_at;
     if (c->closing)
         return;
-    if (c->phase == PX_C_OPENING && silent_us > OPEN_US) {
-        c->inst->next_open_at = now + RETRY_US;
-        px_inst_suspect(c->inst, WR_SILENT);
+    if (c->phase == PX_C_OPENING && silent_us > GREETING_TIMEOUT_US) {
+        c->inst->next_open_at = now + CONNECT_RETRY_US;
+        px_inst_report_suspicion(c->inst, WR_SILENT);
         px_conn_close(c);
     } else if ((c->phase == PX_C_ORPHANED || c->phase == PX_C_ROLLING_BACK) &&
-               silent_us > ORPHAN_US) {
+               silent_us > ORPHAN_TIMEOUT_US) {
         px_outlier_note(&c->inst->outlier, false, now);
         px_conn_close(c);
     }
--- a/proxy/documents.c
+++ b/proxy/documents.c
@@ -75,7 +75,7 @@
 {
     if (!go_on(p))
         return;
-    px_holders_changed(p);
+    px_update_holders(p);
     for (struct px_session *s = p->active; s; s = s->next_active) {
         if (s->stage == PX_S_PARKED)
             s->retry_at = 0; /* it may be allowed otherwise now */
--- a/proxy/groups.c
+++ b/proxy/groups.c
@@ -6,11 +6,11 @@
 enum {
     /* A planned change of primary waits so long for what runs at the old one. Transactions with
      * pauses would hold up everybody else's writes; most end within it (users' pages). */
-    SETTLE_US = 600000,
+    HANDOVER_WAIT_US = 600000,
     /* The primary said that it is none: control learns it by its own probe within this. */
-    DOUBT_US = 60000,
+    PRIMARY_REFUSED_US = 60000,
     /* Taken off an accepted age: clocks tick alike, but not exactly. */
-    AGE_MARGIN_US = 20000,
+    CLOCK_MARGIN_US = 20000,
 };
 
 struct px_group *px_group(const struct px_proxy *p, const char *name)
@@ -29,7 +29,7 @@
     return NULL;
 }
 
-struct px_group *px_group_of(const struct px_session *s)
+struct px_group *px_session_group(const struct px_session *s)
 {
     return px_group(s->p, s->route.group);
 }
@@ -45,10 +45,10 @@
     return NULL;
 }
 
-struct px_inst *px_primary(const struct px_group *g, int64_t now)
+struct px_inst *px_serving_primary(const struct px_group *g, int64_t now)
 {
     bool serves = g->cfg.phase == VW_SERVING && g->cfg.primary >= 0;
-    if (!serves || !px_leased(g->p) || now - g->primary_refused_at < DOUBT_US)
+    if (!serves || !px_leased(g->p) || now - g->primary_refused_at < PRIMARY_REFUSED_US)
         return NULL;
     return g->inst[g->cfg.primary];
 }
@@ -56,13 +56,13 @@
 bool px_age_floor(const struct px_group *g, int64_t max_age_us, int64_t now,
                   struct ps_pos *floor)
 {
-    return max_age_us > AGE_MARGIN_US &&
-           rt_age_floor(&g->rt, max_age_us - AGE_MARGIN_US, now, floor);
+    return max_age_us > CLOCK_MARGIN_US &&
+           rt_age_floor(&g->rt, max_age_us - CLOCK_MARGIN_US, now, floor);
 }
 
 /* ---- following the view ---- */
 
-static struct px_inst *take_inst(struct px_group *g, int n, const char *id)
+static struct px_inst *detach_inst(struct px_group *g, int n, const char *id)
 {
     for (int i = 0; i < n; i++) {
         struct px_inst *in = g->inst[i];
@@ -75,7 +75,7 @@
 }
 
 /* At another address, or started again: what was known of it is void. */
-static bool moved(const struct vw_instance *a, const struct vw_instance *b)
+static bool was_replaced(const struct vw_instance *a, const struct vw_instance *b)
 {
     return strcmp(a->ip, b->ip) != 0 || a->port != b->port || a->born != b->born;
 }
@@ -83,11 +83,11 @@
 static void sync_instances(struct px_group *g, const struct vw_group *v)
 {
     struct px_inst *next[VW_MAX_INSTANCES] = {0};
-    int had = g->cfg.n;
+    int n_before = g->cfg.n;
     for (int i = 0; i < v->n; i++) {
-        struct px_inst *in = take_inst(g, had, v->inst[i].id);
-        if (in && moved(&in->cfg, &v->inst[i])) {
-            px_inst_gone(in);
+        struct px_inst *in = detach_inst(g, n_before, v->inst[i].id);
+        if (in && was_replaced(&in->cfg, &v->inst[i])) {
+            px_inst_remove(in);
             in = NULL;
         }
         if (!in) {
@@ -98,9 +98,9 @@
         in->index = i;
         next[i] = in;
     }
-    for (int i = 0; i < had; i++) {
+    for (int i = 0; i < n_before; i++) {
         if (g->inst[i])
-            px_inst_gone(g->inst[i]);
+            px_inst_remove(g->inst[i]);
     }
     memcpy(g->inst, next, sizeof(next));
 }
@@ -115,7 +115,7 @@
     }
 }
 
-static void follow(struct px_group *g, const struct vw_group *v)
+static void update_group(struct px_group *g, const struct vw_group *v)
 {
     bool new_term = g->cfg.term != v->term, new_phase = g->cfg.phase != v->phase;
     sync_instances(g, v);
@@ -126,7 +126,7 @@
         FL_EVENT(&g->p->log, LG_INFO, "group_changed", "group=%s phase=%s term=%llu primary=%s",
                  v->name, vw_phase_name(v->phase), (unsigned long long)v->term,
                  v->primary >= 0 ? v->inst[v->primary].id : "-");
-        g->settle_deadline = v->phase == VW_HANDING ? ck_now() + SETTLE_US : 0;
+        g->settle_deadline = v->phase == VW_HANDING ? ck_now() + HANDOVER_WAIT_US : 0;
         g->primary_refused_at = 0;
     }
     if (new_term) /* positions of another branch tell nothing of this one */
@@ -155,14 +155,14 @@
     p->groups = next;
     p->n_groups = v->n;
     for (int i = 0; i < v->n; i++)
-        follow(p->groups[i], &v->groups[i]);
-    px_holders_changed(p);
+        update_group(p->groups[i], &v->groups[i]);
+    px_update_holders(p);
 }
 
 /* ---- a planned change of primary ---- */
 
 /* Whether a statement or a transaction that the primary serves is still open. */
-static bool at_primary(const struct px_group *g)
+static bool primary_has_work(const struct px_group *g)
 {
     const struct px_inst *in = g->cfg.primary >= 0 ? g->inst[g->cfg.primary] : NULL;
     for (const struct px_conn *c = in ? in->conns : NULL; c; c = c->next) {
@@ -187,7 +187,7 @@
 {
     for (int i = 0; i < p->n_groups; i++) {
         struct px_group *g = p->groups[i];
-        if (g->settle_deadline && (px_heard(p) > g->settle_deadline || !at_primary(g)))
+        if (g->settle_deadline && (px_heard(p) > g->settle_deadline || !primary_has_work(g)))
             g->settle_deadline = 0;
         for (int k = 0; k < g->cfg.n; k++)
             px_inst_tick(g->inst[k], now);
--- a/proxy/neighbors.c
+++ b/proxy/neighbors.c
@@ -8,7 +8,7 @@
 
 static const char *const state_names[] = {"good", "doubted", "silent"};
 
-static bool listed(const struct px_proxy *p, const char *name)
+static bool is_listed(const struct px_proxy *p, const char *name)
 {
     for (int i = 0; i < p->n_nodes; i++) {
         if (strcmp(p->nodes[i].name, name) == 0)
@@ -33,7 +33,7 @@
 
 static bool passes_on(const struct px_neighbor *nb, int64_t now)
 {
-    return nb->passed_on_at && now - nb->passed_on_at < PX_PASSES_US &&
+    return nb->passed_on_at && now - nb->passed_on_at < PX_PASSED_ON_RECENTLY_US &&
            nb_rank(&nb->status, now) == NB_FIRST;
 }
 
@@ -43,7 +43,7 @@
     return nb && passes_on(nb, now);
 }
 
-bool px_any_passes_on(const struct px_proxy *p, int64_t now)
+bool px_any_neighbor_passes_on(const struct px_proxy *p, int64_t now)
 {
     for (const struct px_neighbor *nb = p->neighbors; nb; nb = nb->next) {
         if (passes_on(nb, now))
@@ -52,7 +52,7 @@
     return false;
 }
 
-struct px_neighbor *px_neighbor_take(struct px_proxy *p, const struct ho_node *node)
+struct px_neighbor *px_neighbor_ref(struct px_proxy *p, const struct ho_node *node)
 {
     struct px_neighbor *nb = find(p, node->name);
     if (!nb) {
@@ -69,7 +69,7 @@
     return nb;
 }
 
-void px_neighbor_drop(struct px_neighbor *nb)
+void px_neighbor_unref(struct px_neighbor *nb)
 {
     nb->n_relays--;
 }
@@ -85,7 +85,7 @@
     }
 }
 
-static void trial_over(struct px_neighbor *nb, bool answered)
+static void end_trial(struct px_neighbor *nb, bool answered)
 {
     enum nb_state before = nb->status.state;
     nb_trial_over(&nb->status, answered, ck_now());
@@ -110,8 +110,8 @@
     struct px_neighbor *nb = ud;
     (void)data;
     (void)len;
-    nb->trial = NULL;
-    trial_over(nb, true);
+    nb->trial_conn = NULL;
+    end_trial(nb, true);
     nt_forget(net);
 }
 
@@ -121,44 +121,44 @@
     struct px_neighbor *nb = ud;
     (void)net;
     (void)refused;
-    nb->trial = NULL;
-    trial_over(nb, opened && !nb_trial_late(&nb->status, px_heard(nb->p)));
+    nb->trial_conn = NULL;
+    end_trial(nb, opened && !nb_trial_late(&nb->status, px_heard(nb->p)));
 }
 
 static const struct nt_ops trial_ops = {on_open, on_message, on_close};
 
-static void try_it(struct px_neighbor *nb, int64_t now)
+static void start_trial(struct px_neighbor *nb, int64_t now)
 {
     struct px_proxy *p = nb->p;
     nb_tried(&nb->status, now);
     p->c.trials++;
-    nb->trial = nt_connect_stream(p->loop, nb->ip, nb->port, &trial_ops, nb);
-    px_meter(p, nb->trial, PX_PEER_NODE, nb->domain);
+    nb->trial_conn = nt_connect_stream(p->loop, nb->ip, nb->port, &trial_ops, nb);
+    px_meter(p, nb->trial_conn, PX_PEER_NODE, nb->domain);
 }
 
-static void give_up_trial(struct px_neighbor *nb)
+static void abandon_trial(struct px_neighbor *nb)
 {
-    nt_forget(nb->trial);
-    nb->trial = NULL;
-    trial_over(nb, false);
+    nt_forget(nb->trial_conn);
+    nb->trial_conn = NULL;
+    end_trial(nb, false);
 }
 
 void px_neighbors_tick(struct px_proxy *p, int64_t now)
 {
     int64_t heard = px_heard(p);
     for (struct px_neighbor *nb = p->neighbors; nb; nb = nb->next) {
-        if (nb->trial && nb_trial_late(&nb->status, heard))
-            give_up_trial(nb);
-        else if (nb_trial_due(&nb->status, now) && (nb->n_relays > 0 || listed(p, nb->name)))
-            try_it(nb, now);
+        if (nb->trial_conn && nb_trial_late(&nb->status, heard))
+            abandon_trial(nb);
+        else if (nb_trial_due(&nb->status, now) && (nb->n_relays > 0 || is_listed(p, nb->name)))
+            start_trial(nb, now);
     }
 }
 
-void px_neighbors_changed(struct px_proxy *p)
+void px_forget_unlisted_neighbors(struct px_proxy *p)
 {
     for (struct px_neighbor **at = &p->neighbors; *at;) {
         struct px_neighbor *nb = *at;
-        if (nb->n_relays > 0 || nb->trial || listed(p, nb->name)) {
+        if (nb->n_relays > 0 || nb->trial_conn || is_listed(p, nb->name)) {
             at = &nb->next;
             continue;
         }
@@ -167,7 +167,7 @@
     }
 }
 
-int px_neighbors_silent(const struct px_proxy *p)
+int px_count_silent_neighbors(const struct px_proxy *p)
 {
     int k = 0;
     for (const struct px_neighbor *nb = p->neighbors; nb; nb = nb->next)
--- a/proxy/outcome.c
+++ b/proxy/outcome.c
@@ -48,7 +48,7 @@
     if (in->removed)
         return;
     in->group->primary_refused_at = ck_now();
-    px_inst_suspect(in, WR_REFUSED);
+    px_inst_report_suspicion(in, WR_REFUSED);
 }
 
 static bool ask_another(struct px_session *s, struct px_conn *c, int64_t after_us)
@@ -137,7 +137,7 @@
         s->conn = c;
         c->phase = PX_C_IDLE_IN_TXN;
         px_answer(s, c);
-        px_inst_pump(c->inst);
+        px_inst_serve_waiters(c->inst);
         return;
     }
     s->lost = s->txn != PX_IDLE;
--- a/proxy/pool.c
+++ b/proxy/pool.c
@@ -4,21 +4,23 @@
 #include "proxy/priv.h"
 
 enum {
-    FIRST_SERVICE_US = 15000,  /* what a statement takes before any was measured */
-    SUSPECT_EVERY_US = 100000, /* an instance is reported again at the earliest */
-    LOST_TIMES = 5, /* a statement out for so many service times has probably lost its answer */
-    QUIET_US = 300000,  /* a statement without an answer for so long, and nothing else heard */
-    SILENT_US = 400000, /* a connection that is not greeted for so long */
-    LACKS_EVERY_US = 100000, /* a share is asked for out of turn at most so often */
-    FRESH_US = 400000,       /* an instance heard within this is taken for well */
+    FIRST_SERVICE_US = 15000,       /* what a statement takes before any was measured */
+    SUSPICION_INTERVAL_US = 100000, /* an instance is reported again at the earliest */
+    LOST_SERVICE_TIMES =
+        5, /* a statement out for so many service times has probably lost its answer */
+    NO_ANSWER_US =
+        300000, /* a statement without an answer for so long, and nothing else heard */
+    NO_GREETING_US = 400000,            /* a connection that is not greeted for so long */
+    SHARE_REQUEST_INTERVAL_US = 100000, /* a share is asked for out of turn at most so often */
+    HEALTH_FRESH_US = 400000,           /* an instance heard within this is taken for well */
     /* An instance that fails alone is reported after this. Origin: by then each of its group
      * has been asked often enough to tell. */
-    ALONE_US = 1000000,
+    OUTLIER_CONFIRM_US = 1000000,
     /* Where all nodes connect at once, those that relay for the others come first by this.
      * Origin: leases of nodes that start together are granted within some 50 ms. */
-    FIRST_HEAD_US = 100000,
+    FIRST_CONN_DELAY_US = 100000,
     /* A lagging replica is asked anew after 250 ms, if reads come. */
-    BEHIND_GAP_US = 500000,
+    BEHIND_RECENT_US = 500000,
 };
 
 struct px_inst *px_inst_new(struct px_group *g, const struct vw_instance *cfg)
@@ -41,24 +43,24 @@
            px_full_may_open(&in->full, &in->p->fulls, in->n_conns, now);
 }
 
-void px_inst_want_first(struct px_inst *in, int64_t now)
+void px_inst_want_first_conn(struct px_inst *in, int64_t now)
 {
     if (in->n_conns > 0 || in->share == 0 || in->wants_first_conn || px_has_accounts(in->p))
         return; /* whose account will be asked for first is not known */
     in->wants_first_conn = true;
-    if (!in->group->connects_first && in->next_open_at < now + FIRST_HEAD_US)
-        in->next_open_at = now + FIRST_HEAD_US;
+    if (!in->group->connects_first && in->next_open_at < now + FIRST_CONN_DELAY_US)
+        in->next_open_at = now + FIRST_CONN_DELAY_US;
     else if (px_inst_has_room(in, now))
         px_conn_open(in, in->p->cfg.name);
 }
 
-void px_inst_lacks(struct px_inst *in, int64_t now)
+void px_inst_request_share(struct px_inst *in, int64_t now)
 {
     if (in->share > 0 || in->n_conns > 0 || in->cfg.draining || in->removed)
         return;
     if (in->peak_demand == 0)
         in->peak_demand = 1;
-    if (now - in->share_requested_at < LACKS_EVERY_US)
+    if (now - in->share_requested_at < SHARE_REQUEST_INTERVAL_US)
         return;
     in->share_requested_at = now;
     in->p->news = true; /* with a renewal of its own */
@@ -81,7 +83,7 @@
     return best;
 }
 
-bool px_inst_ready(const struct px_inst *in, const struct px_session *s)
+bool px_inst_has_idle_conn(const struct px_inst *in, const struct px_session *s)
 {
     return idle_conn(in, s) != NULL;
 }
@@ -100,7 +102,7 @@
 /* By the time until they are late, so that what may wait longer does: with the order of arrival
  * alone, long reads that have twice the time were served before short ones that then were late.
  */
-static bool before(const struct px_session *a, const struct px_session *b)
+static bool goes_before(const struct px_session *a, const struct px_session *b)
 {
     if (a->route.priority != b->route.priority)
         return a->route.priority < b->route.priority;
@@ -110,7 +112,7 @@
 static void enqueue(struct px_inst *in, struct px_session *s)
 {
     struct px_session **at = &in->waiters;
-    while (*at && !before(s, *at))
+    while (*at && !goes_before(s, *at))
         at = &(*at)->wait_next;
     s->wait_next = *at;
     *at = s;
@@ -120,7 +122,7 @@
     s->waiting_since = ck_now();
 }
 
-void px_inst_unwait(struct px_inst *in, struct px_session *s)
+void px_inst_dequeue(struct px_inst *in, struct px_session *s)
 {
     struct px_session **at = &in->waiters;
     while (*at && *at != s)
@@ -139,7 +141,7 @@
         in->peak_demand = want;
 }
 
-static int opening(const struct px_inst *in)
+static int count_opening(const struct px_inst *in)
 {
     int k = 0;
     for (const struct px_conn *c = in->conns; c; c = c->next)
@@ -151,7 +153,7 @@
  * hold up the others. */
 int px_inst_running(const struct px_inst *in)
 {
-    int64_t since = px_heard(in->p) - in->service_us * LOST_TIMES;
+    int64_t since = px_heard(in->p) - in->service_us * LOST_SERVICE_TIMES;
     int k = 0;
     for (const struct px_conn *c = in->conns; c; c = c->next) {
         bool out = c->phase == PX_C_SETUP || c->phase == PX_C_RUNNING;
@@ -163,7 +165,7 @@
 /* ---- connections of accounts ---- */
 
 /* Idle connections of the account; the list is short, a share of an instance's. */
-static int idle_of(const struct px_inst *in, const char *account)
+static int count_idle_of(const struct px_inst *in, const char *account)
 {
     int k = 0;
     for (const struct px_conn *c = in->conns; c; c = c->next)
@@ -172,7 +174,7 @@
 }
 
 /* Whether somebody waits for a connection of that account. */
-static bool waited_for(const struct px_inst *in, const char *account)
+static bool has_waiter_of(const struct px_inst *in, const char *account)
 {
     for (const struct px_session *s = in->waiters; s; s = s->wait_next) {
         if (strcmp(s->account, account) == 0)
@@ -182,7 +184,7 @@
 }
 
 /* The connection that goes if another account needs one; NULL: none can. */
-static struct px_conn *spare_conn(const struct px_inst *in, const char *account)
+static struct px_conn *replaceable_conn(const struct px_inst *in, const char *account)
 {
     enum { LOOKED_AT = 64 }; /* a node's share of an instance's connections is below that */
     struct px_spare spare[LOOKED_AT];
@@ -190,9 +192,9 @@
     int n = 0;
     for (struct px_conn *c = in->conns; c && n < LOOKED_AT; c = c->next) {
         bool idle = c->phase == PX_C_IDLE && !c->closing;
-        if (!idle || strcmp(c->account, account) == 0 || waited_for(in, c->account))
+        if (!idle || strcmp(c->account, account) == 0 || has_waiter_of(in, c->account))
             continue;
-        spare[n] = (struct px_spare){c->last_used_at, idle_of(in, c->account)};
+        spare[n] = (struct px_spare){c->last_used_at, count_idle_of(in, c->account)};
         conns[n++] = c;
     }
     int i = px_fit_spare(spare, n);
@@ -216,12 +218,12 @@
         if (w == s)
             break;
     }
-    v.replaces = !v.room && now >= in->next_open_at && spare_conn(in, s->account) != NULL;
+    v.replaces = !v.room && now >= in->next_open_at && replaceable_conn(in, s->account) != NULL;
     return v;
 }
 
 /* Connections that are on their way out make room soon: one for each that waits for it. */
-static int closing(const struct px_inst *in)
+static int count_closing(const struct px_inst *in)
 {
     int k = 0;
     for (const struct px_conn *c = in->conns; c; c = c->next)
@@ -229,10 +231,10 @@
     return k;
 }
 
-static void replace(struct px_inst *in, const char *account)
+static void replace_conn(struct px_inst *in, const char *account)
 {
-    struct px_conn *c = spare_conn(in, account);
-    if (!c || closing(in) > opening(in))
+    struct px_conn *c = replaceable_conn(in, account);
+    if (!c || count_closing(in) > count_opening(in))
         return; /* the last one that was closed is not used yet */
     in->replaced++;
     in->p->c.replaced++;
@@ -245,7 +247,7 @@
  * busy. Of those that wait the first that needs a connection gets it. */
 static void open_for_waiters(struct px_inst *in, int64_t now)
 {
-    int out = opening(in);
+    int out = count_opening(in);
     if (out >= in->n_waiters || !px_window_open(&in->window, px_inst_running(in) + out, now))
         return;
     for (const struct px_session *s = in->waiters; s; s = s->wait_next) {
@@ -254,13 +256,13 @@
         if (fit == PX_FIT_OPEN)
             px_conn_open(in, s->account);
         else if (fit == PX_FIT_REPLACE)
-            replace(in, s->account);
+            replace_conn(in, s->account);
         if (fit == PX_FIT_OPEN || fit == PX_FIT_REPLACE)
             return;
     }
 }
 
-void px_inst_take(struct px_inst *in, struct px_session *s)
+void px_inst_submit(struct px_inst *in, struct px_session *s)
 {
     bool open = px_window_open(&in->window, px_inst_running(in), ck_now());
     struct px_conn *c = open ? idle_conn(in, s) : NULL;
@@ -275,7 +277,7 @@
 }
 
 /* The first of those that wait of whose account a connection is idle. */
-static struct px_session *next_served(const struct px_inst *in, struct px_conn **c)
+static struct px_session *next_to_serve(const struct px_inst *in, struct px_conn **c)
 {
     for (struct px_session *s = in->waiters; s; s = s->wait_next) {
         *c = idle_conn(in, s);
@@ -285,14 +287,14 @@
     return NULL;
 }
 
-void px_inst_pump(struct px_inst *in)
+void px_inst_serve_waiters(struct px_inst *in)
 {
     while (in->waiters && px_window_open(&in->window, px_inst_running(in), ck_now())) {
         struct px_conn *c;
-        struct px_session *s = next_served(in, &c);
+        struct px_session *s = next_to_serve(in, &c);
         if (!s)
             break;
-        px_inst_unwait(in, s);
+        px_inst_dequeue(in, s);
         px_conn_run(c, s);
     }
     if (in->waiters)
@@ -301,11 +303,11 @@
 
 /* ---- suspicion ---- */
 
-void px_inst_suspect(struct px_inst *in, enum wr_health health)
+void px_inst_report_suspicion(struct px_inst *in, enum wr_health health)
 {
     int64_t now = ck_now();
     bool primary = in->index == in->group->cfg.primary;
-    if (in->removed || !primary || now - in->suspicion_sent_at < SUSPECT_EVERY_US)
+    if (in->removed || !primary || now - in->suspicion_sent_at < SUSPICION_INTERVAL_US)
         return;
     in->suspicion_sent_at = now;
     FL_EVENT(&in->p->log, LG_INFO, "instance_suspected", "instance=%s group=%s why=%s",
@@ -318,23 +320,23 @@
 
 /* Something is out, for long, and nothing was heard meanwhile: an answer that was lost, or an
  * instance that is gone. A new connection tells. */
-static bool quiet(const struct px_inst *in)
+static bool has_unanswered(const struct px_inst *in)
 {
     int64_t heard = px_heard(in->p);
     for (const struct px_conn *c = in->conns; c; c = c->next) {
         bool out = c->phase != PX_C_IDLE && c->phase != PX_C_IDLE_IN_TXN;
-        if (out && heard - c->sent_at > QUIET_US && in->last_received < c->sent_at)
+        if (out && heard - c->sent_at > NO_ANSWER_US && in->last_received < c->sent_at)
             return true;
     }
     return false;
 }
 
 /* A connection is not greeted: nobody is there, or can be reached. */
-static bool silent(const struct px_inst *in)
+static bool has_no_greeting(const struct px_inst *in)
 {
     int64_t heard = px_heard(in->p);
     for (const struct px_conn *c = in->conns; c; c = c->next) {
-        bool late = c->phase == PX_C_OPENING && heard - c->sent_at > SILENT_US;
+        bool late = c->phase == PX_C_OPENING && heard - c->sent_at > NO_GREETING_US;
         if (late && in->last_received < c->sent_at)
             return true;
     }
@@ -343,7 +345,7 @@
 
 /* It fails much while another of its group does not: what fails everywhere is no reason to
  * change anything. */
-static bool fails_alone(const struct px_inst *in, int64_t now)
+static bool is_outlier(const struct px_inst *in, int64_t now)
 {
     const struct px_group *g = in->group;
     if (!px_outlier_failing(&in->outlier, now))
@@ -356,24 +358,24 @@
     return false;
 }
 
-static void note_alone(struct px_inst *in, int64_t now)
+static void update_outlier(struct px_inst *in, int64_t now)
 {
-    if (!fails_alone(in, now))
+    if (!is_outlier(in, now))
         in->outlier_since = 0;
     else if (!in->outlier_since)
         in->outlier_since = now;
 }
 
 /* It has failed alone for so long that others, if they fail as well, would have shown it. */
-static bool outlived_doubt(const struct px_inst *in)
+static bool is_confirmed_outlier(const struct px_inst *in)
 {
-    return in->outlier_since && px_heard(in->p) - in->outlier_since > ALONE_US;
+    return in->outlier_since && px_heard(in->p) - in->outlier_since > OUTLIER_CONFIRM_US;
 }
 
 static bool is_behind(const struct px_inst *in, int64_t heard)
 {
-    return heard - in->behind_until < BEHIND_GAP_US &&
-           heard - in->read_served_at > BEHIND_GAP_US;
+    return heard - in->behind_until < BEHIND_RECENT_US &&
+           heard - in->read_served_at > BEHIND_RECENT_US;
 }
 
 static struct px_relief_view relief_view(const struct px_group *g)
@@ -389,13 +391,13 @@
 }
 
 /* The group's primary serves alone, and callers are refused for it. */
-static bool needs_relief(struct px_inst *in)
+static bool needs_handover(struct px_inst *in)
 {
     struct px_relief_view v = relief_view(in->group);
     return px_relief_due(&in->group->relief, &v, px_heard(in->p));
 }
 
-static bool serves_alone(const struct px_inst *in)
+static bool is_sole_server(const struct px_inst *in)
 {
     struct px_relief_view v = relief_view(in->group);
     return in->index == in->group->cfg.primary && px_relief_alone(&v);
@@ -409,21 +411,21 @@
         return WR_UNKNOWN;
     if (in->connect_failed_at)
         return WR_REFUSED;
-    if (silent(in) || outlived_doubt(in))
+    if (has_no_greeting(in) || is_confirmed_outlier(in))
         return WR_SILENT;
     if (in->wants_handover)
         return WR_UNFIT;
     if (px_outlier_failing(&in->outlier, now))
         return WR_UNKNOWN; /* no better one is known */
-    if (serves_alone(in))
+    if (is_sole_server(in))
         return WR_UNKNOWN;
-    return now - in->last_received < FRESH_US ? WR_OK : WR_UNKNOWN;
+    return now - in->last_received < HEALTH_FRESH_US ? WR_OK : WR_UNKNOWN;
 }
 
 /* ---- time ---- */
 
 /* Above the share: idle ones go first. An instance that leaves keeps none. */
-static void shed(struct px_inst *in)
+static void close_excess(struct px_inst *in)
 {
     int keep = in->cfg.draining || in->removed ? 0 : in->share;
     int over = in->n_conns - keep;
@@ -439,42 +441,42 @@
 {
     for (struct px_conn *c = in->conns; c; c = c->next)
         px_conn_tick(c, now);
-    shed(in);
-    px_inst_pump(in);
+    close_excess(in);
+    px_inst_serve_waiters(in);
     open_for_waiters(in, now);
     if (in->wants_first_conn && in->n_conns == 0 && px_inst_has_room(in, now))
         px_conn_open(in, in->p->cfg.name);
     /* One more than the share, to learn whether it is there: refused, it is. */
-    bool ask = in->wants_probe || quiet(in);
+    bool ask = in->wants_probe || has_unanswered(in);
     in->wants_probe = false;
-    if (ask && opening(in) == 0 && now >= in->next_open_at && !in->removed)
+    if (ask && count_opening(in) == 0 && now >= in->next_open_at && !in->removed)
         px_conn_open(in, in->waiters ? in->waiters->account : in->last_account);
-    note_alone(in, now);
+    update_outlier(in, now);
     bool leads = !in->removed && in->index == in->group->cfg.primary;
-    in->wants_handover = leads && needs_relief(in);
-    if (silent(in) || outlived_doubt(in))
-        px_inst_suspect(in, WR_SILENT);
+    in->wants_handover = leads && needs_handover(in);
+    if (has_no_greeting(in) || is_confirmed_outlier(in))
+        px_inst_report_suspicion(in, WR_SILENT);
     else if (in->wants_handover)
-        px_inst_suspect(in, WR_UNFIT);
+        px_inst_report_suspicion(in, WR_UNFIT);
 }
 
 /* ---- end ---- */
 
-void px_inst_gone(struct px_inst *in)
+void px_inst_remove(struct px_inst *in)
 {
     in->removed = true;
     in->next_removed = in->p->gone;
     in->p->gone = in;
     while (in->waiters) {
         struct px_session *s = in->waiters;
-        px_inst_unwait(in, s);
+        px_inst_dequeue(in, s);
         px_park(s, ck_now());
     }
-    shed(in);
-    px_inst_maybe_free(in);
+    close_excess(in);
+    px_inst_free_if_removed(in);
 }
 
-void px_inst_maybe_free(struct px_inst *in)
+void px_inst_free_if_removed(struct px_inst *in)
 {
     struct px_inst **at = &in->p->gone;
     if (!in->removed || in->n_conns > 0)
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -132,7 +132,7 @@
     uint16_t holders[HO_MAX_HOLDERS];
     /* Where the document's accounts are among the holders, by their number there; NULL until it
      * is asked for. */
-    struct sp_place *places;
+    struct sp_place *placements;
     struct px_relief relief;
     int64_t wait_failed_at;  /* a statement waited for its primary in vain */
     int64_t term_began_at;   /* this node acts on its term */
@@ -255,7 +255,7 @@
     int n_relays; /* that name it */
     struct nb_neighbor status;
     int64_t passed_on_at; /* it passed a session on to a holder that we did not reach */
-    struct nt_conn *trial;
+    struct nt_conn *trial_conn;
     char database[CG_NAME]; /* of the last session that went there: what a trial asks for */
     char key[AC_KEY];
 };
@@ -461,26 +461,28 @@
                                 bool seeks, int64_t now);
 
 /* neighbors.c: what is believed of the other nodes, and trials of them */
-enum { PX_PASSES_US = 5000000 }; /* who passed a session on lately probably does it again */
+enum {
+    PX_PASSED_ON_RECENTLY_US = 5000000
+}; /* who passed a session on lately probably does it again */
 
 enum nb_rank px_neighbor_rank(const struct px_proxy *p, const struct ho_node *node,
                               int64_t now);
 /* Whether it passed a session on lately. */
 bool px_neighbor_passes_on(const struct px_proxy *p, const struct ho_node *node, int64_t now);
 /* A relay names the node; px_neighbor_drop when it does not any more. */
-struct px_neighbor *px_neighbor_take(struct px_proxy *p, const struct ho_node *node);
-void px_neighbor_drop(struct px_neighbor *nb);
+struct px_neighbor *px_neighbor_ref(struct px_proxy *p, const struct ho_node *node);
+void px_neighbor_unref(struct px_neighbor *nb);
 /* Every tick. */
 void px_neighbors_tick(struct px_proxy *p, int64_t now);
 /* The list of nodes changed: those that are gone are forgotten. */
-void px_neighbors_changed(struct px_proxy *p);
-int px_neighbors_silent(const struct px_proxy *p);
+void px_forget_unlisted_neighbors(struct px_proxy *p);
+int px_count_silent_neighbors(const struct px_proxy *p);
 /* Whether any node passed a session on lately. */
-bool px_any_passes_on(const struct px_proxy *p, int64_t now);
+bool px_any_neighbor_passes_on(const struct px_proxy *p, int64_t now);
 
 /* holders.c: which nodes hold connections to which groups */
 /* The view, the document or the nodes changed. */
-void px_holders_changed(struct px_proxy *p);
+void px_update_holders(struct px_proxy *p);
 /* Whether it is known which other nodes there are, or has been waited for long enough. Until
  * then this node holds no group. */
 bool px_knows_nodes(const struct px_proxy *p);
@@ -492,9 +494,9 @@
 /* Whether this node is one of those at which the account's sessions meet. */
 bool px_serves_account(const struct px_session *s, struct px_group *g);
 /* The account's first holders in the group; NULL: the document doesn't list it. */
-const struct sp_place *px_place_of(struct px_group *g, const char *account);
+const struct sp_place *px_account_placement(struct px_group *g, const char *account);
 /* Whether this node has an open connection to the group's primary, as far as there is one. */
-bool px_reaches(const struct px_group *g);
+bool px_reaches_primary(const struct px_group *g);
 
 /* work.c: one statement on its way */
 enum { PX_PARK_US = 20000 }; /* between two looks at what a parked statement waits for */
@@ -539,30 +541,30 @@
 /* pool.c: instances */
 struct px_inst *px_inst_new(struct px_group *g, const struct vw_instance *cfg);
 /* It left the view, or moved: its connections end, then it is freed. */
-void px_inst_gone(struct px_inst *in);
+void px_inst_remove(struct px_inst *in);
 /* Free it if it is gone and has no connection any more. */
-void px_inst_maybe_free(struct px_inst *in);
+void px_inst_free_if_removed(struct px_inst *in);
 /* An idle connection for the session, or its place among those that wait for one. */
-void px_inst_take(struct px_inst *in, struct px_session *s);
+void px_inst_submit(struct px_inst *in, struct px_session *s);
 /* Whether a connection of its account is idle there. */
-bool px_inst_ready(const struct px_inst *in, const struct px_session *s);
+bool px_inst_has_idle_conn(const struct px_inst *in, const struct px_session *s);
 /* The session waits no longer. */
-void px_inst_unwait(struct px_inst *in, struct px_session *s);
+void px_inst_dequeue(struct px_inst *in, struct px_session *s);
 /* Serve those that wait, as far as connections are idle. */
-void px_inst_pump(struct px_inst *in);
+void px_inst_serve_waiters(struct px_inst *in);
 /* Statements that are out there, without those whose answers are probably lost. */
 int px_inst_running(const struct px_inst *in);
 void px_inst_tick(struct px_inst *in, int64_t now);
 /* Whether a statement may go there: it is there as far as is known, and stays. */
 bool px_inst_usable(const struct px_inst *in, int64_t now);
 /* The node got a share: its first connection is opened before anybody waits for it. */
-void px_inst_want_first(struct px_inst *in, int64_t now);
+void px_inst_want_first_conn(struct px_inst *in, int64_t now);
 /* Statements find it without a share: ask for one, soon. */
-void px_inst_lacks(struct px_inst *in, int64_t now);
+void px_inst_request_share(struct px_inst *in, int64_t now);
 /* Whether one more connection may be opened. */
 bool px_inst_has_room(const struct px_inst *in, int64_t now);
 /* Tell the entry role that the primary does not answer, or refuses; now and then only. */
-void px_inst_suspect(struct px_inst *in, enum wr_health health);
+void px_inst_report_suspicion(struct px_inst *in, enum wr_health health);
 
 /* conn.c: connections to instances */
 void px_conn_open(struct px_inst *in, const char *account);
@@ -589,10 +591,10 @@
 /* groups.c: the view */
 struct px_group *px_group(const struct px_proxy *p, const char *name);
 /* The group that the session's route names, NULL: none, or no route was taken. */
-struct px_group *px_group_of(const struct px_session *s);
+struct px_group *px_session_group(const struct px_session *s);
 struct px_inst *px_inst(const struct px_proxy *p, struct sr_str id);
 /* The instance that serves the group's term, NULL: none is known to. */
-struct px_inst *px_primary(const struct px_group *g, int64_t now);
+struct px_inst *px_serving_primary(const struct px_group *g, int64_t now);
 /* What the primary's position was at a time since when a read may miss nothing. */
 bool px_age_floor(const struct px_group *g, int64_t max_age_us, int64_t now,
                   struct ps_pos *floor);
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -111,7 +111,7 @@
     if (!in)
         return;
     in->share = connections;
-    px_inst_want_first(in, ck_now());
+    px_inst_want_first_conn(in, ck_now());
 }
 
 void px_lease_lost(struct px_proxy *p)
@@ -330,7 +330,7 @@
                      const char *nodes[HO_MAX_HOLDERS])
 {
     struct px_group *g = px_group(p, group);
-    const struct sp_place *place = g ? px_place_of(g, account) : NULL;
+    const struct sp_place *place = g ? px_account_placement(g, account) : NULL;
     int n = place ? place->n : 0;
     for (int k = 0; k < n; k++)
         nodes[k] = p->nodes[g->holders[place->at[k]]].name;
@@ -387,7 +387,7 @@
                 {"relayed_total", p->c.relayed},
                 {"relayed_by_others_total", p->c.by_others},
                 {"passed_on_total", p->c.passed_on},
-                {"neighbors_silent", (uint64_t)px_neighbors_silent(p)},
+                {"neighbors_silent", (uint64_t)px_count_silent_neighbors(p)},
                 {"neighbor_trials_total", p->c.trials},
                 {"silent_told_total", p->c.silent_told},
                 {"cut_total", p->c.cut},
--- a/proxy/relay.c
+++ b/proxy/relay.c
@@ -100,7 +100,7 @@
         return true;
     if (g->held && px_has_accounts(s->p))
         return !px_serves_account(s, g);
-    return !g->held || (!g->connects_first && !px_reaches(g));
+    return !g->held || (!g->connects_first && !px_reaches_primary(g));
 }
 
 /* ---- the other node ---- */
@@ -110,7 +110,7 @@
 static void drop_tries(struct px_relay *r)
 {
     for (int k = 0; k < r->tries.n; k++)
-        px_neighbor_drop(r->tries.nb[k]);
+        px_neighbor_unref(r->tries.nb[k]);
     r->tries.n = 0;
 }
 
@@ -386,7 +386,7 @@
         return;
     }
     const struct ho_node *node = &p->nodes[to.node];
-    r->nb = px_neighbor_take(p, node);
+    r->nb = px_neighbor_ref(p, node);
     r->tries.nb[r->tries.n++] = r->nb;
     r->by_other = to.passes_on;
     r->late = false;
@@ -504,7 +504,7 @@
 static void greeting_late(struct px_relay *r, int64_t now)
 {
     struct px_proxy *p = r->s->p;
-    if (px_cut_off(p) && !px_any_passes_on(p, now))
+    if (px_cut_off(p) && !px_any_neighbor_passes_on(p, now))
         p->isolated_until = now + ISOLATED_US;
     r->late = true;
     nt_close(r->net, true);
--- a/proxy/session.c
+++ b/proxy/session.c
@@ -259,7 +259,7 @@
 /* Another node holds the group now: the session's next life is there. */
 static void moved_tick(struct px_session *s, int64_t now)
 {
-    const struct px_group *g = px_group_of(s);
+    const struct px_group *g = px_session_group(s);
     if (s->relay || !g || g->held || !rests(s))
         return;
     if (s->p->stopping && !s->came_relayed)
--- a/proxy/targets.c
+++ b/proxy/targets.c
@@ -130,7 +130,7 @@
 /* Whether this session may look for a node that passes it on: it is at it, or it is time. */
 static bool may_seek(struct px_proxy *p, bool seeks, int64_t now)
 {
-    if (seeks || px_any_passes_on(p, now))
+    if (seeks || px_any_neighbor_passes_on(p, now))
         return true;
     if (now - p->sought_at < SEEK_EVERY_US)
         return false;
--- a/proxy/work.c
+++ b/proxy/work.c
@@ -52,7 +52,7 @@
     if (s->stage == PX_S_REST)
         return;
     if (s->stage == PX_S_WAITING)
-        px_inst_unwait(s->inst, s);
+        px_inst_dequeue(s->inst, s);
     if (s->prev_active)
         s->prev_active->next_active = s->next_active;
     else
@@ -87,7 +87,7 @@
     const struct px_group *g = in->group;
     /* Room for one more is no connection where it has to be opened for the account first. */
     bool accounts = px_has_accounts(in->p);
-    bool idle = accounts ? px_inst_ready(in, s) : in->n_conns > in->busy;
+    bool idle = accounts ? px_inst_has_idle_conn(in, s) : in->n_conns > in->busy;
     return (struct px_candidate){
         .usable = px_inst_usable(in, now) && !(s->skip & (1u << in->index)),
         .primary = in->index == g->cfg.primary,
@@ -108,7 +108,7 @@
     struct px_candidate c[VW_MAX_INSTANCES];
     struct ps_pos floor;
     if (!px_age_floor(g, s->route.max_age_us, now, &floor))
-        return px_primary(g, now);
+        return px_serving_primary(g, now);
     if (s->route.reads == CG_SESSION && strcmp(s->seen_in, g->cfg.name) == 0)
         floor = ps_max(floor, s->seen);
     s->has_floor = true;
@@ -117,7 +117,7 @@
         c[i] = candidate(s, g->inst[i], now);
     int i = px_place(c, g->cfg.n, true, floor, now, &s->p->rng);
     for (int k = 0; i < 0 && k < g->cfg.n; k++)
-        px_inst_lacks(g->inst[k], now);
+        px_inst_request_share(g->inst[k], now);
     return i < 0 ? NULL : g->inst[i];
 }
 
@@ -128,13 +128,13 @@
         struct px_inst *in = place_read(s, g, now);
         /* The primary of a term in force misses nothing: a position that was lost with the term
          * before must not keep the session from reading. */
-        if (in && in == px_primary(g, now))
+        if (in && in == px_serving_primary(g, now))
             s->has_floor = false;
         return in;
     }
-    struct px_inst *in = px_primary(g, now);
+    struct px_inst *in = px_serving_primary(g, now);
     if (in && !px_inst_usable(in, now))
-        px_inst_lacks(in, now);
+        px_inst_request_share(in, now);
     return in && px_inst_usable(in, now) ? in : NULL;
 }
 
@@ -154,14 +154,14 @@
         px_conn_run(s->conn, s);
         return;
     }
-    struct px_group *g = px_group_of(s);
+    struct px_group *g = px_session_group(s);
     struct px_inst *in = g ? place(s, g, now) : NULL;
     if (!in) {
         s->skip = 0; /* nobody is left: all may be asked again */
         px_park(s, now + PX_PARK_US);
         return;
     }
-    px_inst_take(in, s);
+    px_inst_submit(in, s);
 }
 
 bool px_try_again(struct px_session *s, int64_t after_us, bool counts)
@@ -225,7 +225,7 @@
     bool may_move = !px_needs_primary(s) && now - s->waiting_since > MOVE_US;
     if (usable && !may_move)
         return;
-    px_inst_unwait(s->inst, s);
+    px_inst_dequeue(s->inst, s);
     px_park(s, now);
     px_route_work(s);
 }
