--- a/proxy/pool.c
+++ b/proxy/pool.c
@@ -197,28 +197,29 @@
         spare[n] = (struct px_spare){c->last_used_at, count_idle_of(in, c->account)};
         conns[n++] = c;
     }
-    int i = px_fit_spare(spare, n);
+    int i = px_choose_spare(spare, n);
     return i < 0 ? NULL : conns[i];
 }
 
 /* What the node has there, as seen for a statement that waits. */
-static struct px_fit_view fit_view(const struct px_inst *in, const struct px_session *s,
-                                   int64_t now)
+static struct px_choice_view choice_view(const struct px_inst *in, const struct px_session *s,
+                                         int64_t now)
 {
-    struct px_fit_view v = {.room = px_inst_has_room(in, now),
-                            .waited = now - s->waiting_since,
-                            .idle = idle_conn(in, s) != NULL};
+    struct px_choice_view v = {.share_has_room = px_inst_has_room(in, now),
+                               .waited_us = now - s->waiting_since,
+                               .idle = idle_conn(in, s) != NULL};
     for (const struct px_conn *c = in->conns; c; c = c->next) {
         bool own = !c->closing && strcmp(c->account, s->account) == 0;
-        v.own += own;
-        v.coming += own && c->phase == PX_C_OPENING;
+        v.own_conns += own;
+        v.own_opening += own && c->phase == PX_C_OPENING;
     }
     for (const struct px_session *w = in->waiters; w; w = w->wait_next) {
-        v.waiting += strcmp(w->account, s->account) == 0;
+        v.own_waiting += strcmp(w->account, s->account) == 0;
         if (w == s)
             break;
     }
-    v.replaces = !v.room && now >= in->next_open_at && replaceable_conn(in, s->account) != NULL;
+    v.can_replace = !v.share_has_room && now >= in->next_open_at &&
+                    replaceable_conn(in, s->account) != NULL;
     return v;
 }
 
@@ -251,13 +252,13 @@
     if (out >= in->n_waiters || !px_window_open(&in->window, px_inst_running(in) + out, now))
         return;
     for (const struct px_session *s = in->waiters; s; s = s->wait_next) {
-        struct px_fit_view v = fit_view(in, s, now);
-        enum px_fit fit = px_fit(&v);
-        if (fit == PX_FIT_OPEN)
+        struct px_choice_view v = choice_view(in, s, now);
+        enum px_conn_choice choice = px_choose_conn(&v);
+        if (choice == PX_CHOICE_OPEN)
             px_conn_open(in, s->account);
-        else if (fit == PX_FIT_REPLACE)
+        else if (choice == PX_CHOICE_REPLACE)
             replace_conn(in, s->account);
-        if (fit == PX_FIT_OPEN || fit == PX_FIT_REPLACE)
+        if (choice == PX_CHOICE_OPEN || choice == PX_CHOICE_REPLACE)
             return;
     }
 }
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -8,7 +8,7 @@
 #include "misc/log.h"
 #include "misc/rng.h"
 #include "pool/shares.h"
-#include "proxy/fit.h"
+#include "proxy/conn_choice.h"
 #include "proxy/full.h"
 #include "proxy/neighbor.h"
 #include "proxy/outlier.h"
--- a/tests/unit/test_fit.c
+++ b/tests/unit/test_fit.c
@@ -4,35 +4,41 @@
 
 #include "misc/clock.h"
 #include "misc/rng.h"
-#include "proxy/fit.h"
+#include "proxy/conn_choice.h"
 #include "tests/unit/unit.h"
 
 static void a_statement_gets_the_connection_that_fits(void)
 {
     static const struct {
         const char *what;
-        struct px_fit_view v;
-        enum px_fit fit;
+        struct px_choice_view v;
+        enum px_conn_choice choice;
     } rows[] = {
-        {"one of its account is idle", {.idle = true, .own = 1, .waiting = 1}, PX_FIT_RUN},
-        {"none is there, and there is room", {.waiting = 1, .room = true}, PX_FIT_OPEN},
+        {"one of its account is idle",
+         {.idle = true, .own_conns = 1, .own_waiting = 1},
+         PX_CHOICE_RUN},
+        {"none is there, and there is room",
+         {.own_waiting = 1, .share_has_room = true},
+         PX_CHOICE_OPEN},
         {"one is being opened for it",
-         {.own = 1, .coming = 1, .waiting = 1, .room = true},
-         PX_FIT_WAIT},
+         {.own_conns = 1, .own_opening = 1, .own_waiting = 1, .share_has_room = true},
+         PX_CHOICE_WAIT},
         {"another statement waits for that one",
-         {.own = 1, .coming = 1, .waiting = 2, .room = true},
-         PX_FIT_OPEN},
-        {"no room: another account's goes", {.waiting = 1, .replaces = true}, PX_FIT_REPLACE},
-        {"no room, and none can go", {.waiting = 1}, PX_FIT_WAIT},
+         {.own_conns = 1, .own_opening = 1, .own_waiting = 2, .share_has_room = true},
+         PX_CHOICE_OPEN},
+        {"no room: another account's goes",
+         {.own_waiting = 1, .can_replace = true},
+         PX_CHOICE_REPLACE},
+        {"no room, and none can go", {.own_waiting = 1}, PX_CHOICE_WAIT},
         {"its own comes free in a moment",
-         {.own = 1, .waiting = 1, .replaces = true},
-         PX_FIT_WAIT},
+         {.own_conns = 1, .own_waiting = 1, .can_replace = true},
+         PX_CHOICE_WAIT},
         {"its own did not come free",
-         {.own = 1, .waiting = 1, .replaces = true, .waited = CK_MS(21)},
-         PX_FIT_REPLACE},
+         {.own_conns = 1, .own_waiting = 1, .can_replace = true, .waited_us = CK_MS(21)},
+         PX_CHOICE_REPLACE},
     };
     for (size_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++) {
-        if (px_fit(&rows[i].v) != rows[i].fit)
+        if (px_choose_conn(&rows[i].v) != rows[i].choice)
             CU_FAIL(rows[i].what);
     }
 }
@@ -40,11 +46,11 @@
 static void what_is_needed_least_goes(void)
 {
     struct px_spare s[] = {{10, 1}, {30, 2}, {20, 2}, {5, 1}};
-    CU_ASSERT_EQUAL(px_fit_spare(s, 0), -1);
-    CU_ASSERT_EQUAL(px_fit_spare(s, 4), 2); /* of those that are there twice the oldest */
-    CU_ASSERT_EQUAL(px_fit_spare(s, 2), 1);
-    s[1].same = s[2].same = 1;
-    CU_ASSERT_EQUAL(px_fit_spare(s, 4), 3);
+    CU_ASSERT_EQUAL(px_choose_spare(s, 0), -1);
+    CU_ASSERT_EQUAL(px_choose_spare(s, 4), 2); /* of those that are there twice the oldest */
+    CU_ASSERT_EQUAL(px_choose_spare(s, 2), 1);
+    s[1].idle_of_account = s[2].idle_of_account = 1;
+    CU_ASSERT_EQUAL(px_choose_spare(s, 4), 3);
 }
 
 /* Load: 12 accounts, the share of a holder where an instance takes 29 connections and there are
@@ -68,12 +74,12 @@
             at++;
         large += is_large;
         if (at == CONNS) {
-            at = px_fit_spare(s, CONNS);
+            at = px_choose_spare(s, CONNS);
             account[at] = a;
             openings++;
             large_openings += is_large;
         }
-        s[at].used_at = t;
+        s[at].last_used_at = t;
     }
     CU_ASSERT(openings * 3 < STATEMENTS);
     CU_ASSERT(large_openings * 10 < large);
