--- a/proxy/conn.c
+++ b/proxy/conn.c
@@ -227,7 +227,7 @@
 {
     struct px_inst *in = c->inst;
     c->phase = PX_C_IDLE;
-    px_full_accepted(&in->full, &in->p->fulls, count_open(in), ck_now());
+    px_saturation_accepted(&in->saturation, &in->p->saturation, count_open(in), ck_now());
     in->too_many_since = 0;
     in->wants_first_conn = false;
     in->p->c.opened++;
@@ -331,7 +331,7 @@
                               : full ? TOO_MANY_RETRY_US
                                      : CONNECT_RETRY_US);
     if (early && open > 0 && px_has_accounts(in->p)) { /* they take turns on those */
-        px_full_refused(&in->full, &in->p->fulls, open, now);
+        px_saturation_refused(&in->saturation, &in->p->saturation, open, now);
         in->next_open_at = now;
     }
     FL_INFO(&in->p->log, "instance %s refuses a connection: %s %.*s", in->cfg.id,
@@ -466,7 +466,7 @@
     c->inst = in;
     c->phase = PX_C_OPENING;
     c->sent_at = ck_now();
-    px_full_opening(&in->full, &in->p->fulls, in->n_conns, c->sent_at);
+    px_saturation_opening(&in->saturation, &in->p->saturation, in->n_conns, c->sent_at);
     c->next = in->conns;
     in->conns = c;
     in->n_conns++;
--- a/proxy/pool.c
+++ b/proxy/pool.c
@@ -40,7 +40,7 @@
 {
     bool may = now >= in->next_open_at && !in->cfg.draining && !in->removed;
     return may && in->n_conns < in->share &&
-           px_full_may_open(&in->full, &in->p->fulls, in->n_conns, now);
+           px_saturation_may_open(&in->saturation, &in->p->saturation, in->n_conns, now);
 }
 
 void px_inst_want_first_conn(struct px_inst *in, int64_t now)
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -9,7 +9,7 @@
 #include "misc/rng.h"
 #include "pool/shares.h"
 #include "proxy/conn_choice.h"
-#include "proxy/full.h"
+#include "proxy/saturation.h"
 #include "proxy/neighbor.h"
 #include "proxy/outlier.h"
 #include "proxy/pace.h"
@@ -91,7 +91,7 @@
     int64_t
         share_requested_at; /* a statement found that there is no share, and asked for one */
     int64_t too_many_since; /* it has refused connections as too many since; 0: it has not */
-    struct px_full full;
+    struct px_saturation saturation;
     int replaced;               /* connections closed for those of other accounts, lately */
     char last_account[AC_NAME]; /* the last connection was opened for */
 
@@ -300,7 +300,8 @@
     int n_groups;
     struct px_group **groups; /* sorted by name */
     int n_nodes;
-    struct px_fulls fulls; /* instances that take fewer connections than this node's shares */
+    struct px_saturation_common
+        saturation;        /* instances that take fewer connections than this node's shares */
     struct ho_node *nodes; /* entry nodes with a lease, prepared */
     int64_t configured_at; /* the first document came */
     bool knew_nodes;       /* px_knows_nodes, when groups were looked at last */
--- a/proxy/full.h
+++ b/proxy/saturation.h
@@ -6,32 +6,35 @@
  * refuses hundreds. So a node stays with what it has where it was refused, and one of its
  * instances at a time is tried: VMs that died together come free together, so what it finds
  * holds for all. */
-#ifndef FL_PROXY_FULL_H
-#define FL_PROXY_FULL_H
+#ifndef FL_PROXY_SATURATION_H
+#define FL_PROXY_SATURATION_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
 /* What is known of one instance; zero-initialised: nothing. */
-struct px_full {
-    int64_t at; /* it refused a connection as too many; 0: it has not */
-    int most;   /* connections that were open then */
+struct px_saturation {
+    int64_t refused_at; /* it refused a connection as too many; 0: it has not */
+    int open_conns;     /* connections that were open then */
 };
 
 /* What a node's instances have in common. */
-struct px_fulls {
-    int64_t try_at;  /* the next is tried then */
-    int64_t free_at; /* one that had been full took one more */
+struct px_saturation_common {
+    int64_t next_try_at; /* the next is tried then */
+    int64_t freed_at;    /* one that had been full took one more */
 };
 
 /* Whether a connection beside `conns` is worth a try. */
-bool px_full_may_open(const struct px_full *f, const struct px_fulls *all, int conns,
-                      int64_t now);
+bool px_saturation_may_open(const struct px_saturation *f,
+                            const struct px_saturation_common *all, int conns, int64_t now);
 /* One is being opened beside `conns`. */
-void px_full_opening(const struct px_full *f, struct px_fulls *all, int conns, int64_t now);
+void px_saturation_opening(const struct px_saturation *f, struct px_saturation_common *all,
+                           int conns, int64_t now);
 /* It was refused, `open` others are there. */
-void px_full_refused(struct px_full *f, struct px_fulls *all, int open, int64_t now);
+void px_saturation_refused(struct px_saturation *f, struct px_saturation_common *all, int open,
+                           int64_t now);
 /* It was accepted, and with it `open` are there. */
-void px_full_accepted(struct px_full *f, struct px_fulls *all, int open, int64_t now);
+void px_saturation_accepted(struct px_saturation *f, struct px_saturation_common *all, int open,
+                            int64_t now);
 
 #endif
