--- a/proxy/session.c
+++ b/proxy/session.c
@@ -259,12 +259,12 @@
 /* Another node holds the group now: the session's next life is there. */
 static void moved_tick(struct px_session *s, int64_t now)
 {
-    const struct px_group *g = px_group_of(s);
+    const struct px_group *g = px_session_group(s);
     if (s->relay || !g || g->held || !rests(s))
         return;
     if (s->p->stopping && !s->came_relayed)
         return; /* the balancer would send its caller here again: stop_tick */
-    if (now - g->let_go_at > px_turn(s, CUT_OFF_CLOSE_OVER_US))
+    if (now - g->released_at > px_turn(s, CUT_OFF_CLOSE_OVER_US))
         px_end_resting(s, PX_END_ELSEWHERE);
 }
 
