--- a/proxy/answer.c
+++ b/proxy/answer.c
@@ -97,7 +97,7 @@
     }
     put_ready(s, &b, c->has_pos, c->pos);
     send_all(s, &b);
-    s->since = ck_now();
+    s->idle_since = ck_now();
     px_session_go_on(s);
 }
 
@@ -114,7 +114,7 @@
 {
     px_end_work(s);
     tell_failure(s, kind, detail);
-    s->since = ck_now();
+    s->idle_since = ck_now();
     px_session_go_on(s);
 }
 
@@ -130,7 +130,7 @@
     s->p->cfg.codec->put(&b, &done);
     put_ready(s, &b, false, no_pos);
     send_all(s, &b);
-    s->since = ck_now();
+    s->idle_since = ck_now();
 }
 
 void px_greet(struct px_session *s)
@@ -145,15 +145,15 @@
     px_fail_and_close(s, ER_NO_LEASE, "this node is cut off; another may serve it, at once");
 }
 
-static const char *const end_names[PX_ENDS] = {
-    [PX_END_BY_CALLER] = "caller",        [PX_END_REFUSED] = "refused",
-    [PX_END_ELSEWHERE] = "elsewhere",     [PX_END_NOT_TAKEN] = "not_taken",
-    [PX_END_HOLDER_ENDS] = "holder_ends", [PX_END_HOLDER_LOST] = "holder_lost",
-    [PX_END_SILENT] = "silent",           [PX_END_NO_HOLDER] = "no_holder",
-    [PX_END_NOT_READ] = "not_read",       [PX_END_LEFT] = "left",
+static const char *const end_names[PX_END_REASONS] = {
+    [PX_END_BY_CALLER] = "caller",          [PX_END_REFUSED] = "refused",
+    [PX_END_MOVED] = "elsewhere",           [PX_END_NOT_ACCEPTED] = "not_taken",
+    [PX_END_HOLDER_CLOSED] = "holder_ends", [PX_END_HOLDER_LOST] = "holder_lost",
+    [PX_END_HOLDER_SILENT] = "silent",      [PX_END_NO_HOLDER] = "no_holder",
+    [PX_END_QUEUE_FULL] = "not_read",       [PX_END_TIMEOUT] = "left",
 };
 
-const char *px_end_name(enum px_end why)
+const char *px_end_reason_name(enum px_end_reason why)
 {
     return end_names[why];
 }
@@ -166,15 +166,15 @@
         FL_EVENT(&p->log, LG_INFO, "session_dropped",
                  "session=%llu database=%s relayed=%d why=%s bytes=%zu",
                  (unsigned long long)s->state.session, s->database, s->relay != NULL,
-                 end_names[s->end], bytes);
+                 end_names[s->end_reason], bytes);
 }
 
-static void note_end(struct px_session *s, enum px_end why)
+static void note_end(struct px_session *s, enum px_end_reason why)
 {
     struct px_proxy *p = s->p;
-    bool cut = why != PX_END_BY_CALLER && (s->stage != PX_S_REST || px_asked_elsewhere(s));
+    bool cut = why != PX_END_BY_CALLER && (s->stage != PX_S_IDLE || px_asked_elsewhere(s));
     s->ended = true;
-    s->end = why;
+    s->end_reason = why;
     p->c.ends[why]++;
     p->c.cut += cut;
     if (cut && may_log(p))
@@ -183,13 +183,13 @@
                  end_names[why]);
 }
 
-void px_close(struct px_session *s, enum px_end why, bool at_once)
+void px_close(struct px_session *s, enum px_end_reason why, bool at_once)
 {
     note_end(s, why);
     nt_close(s->net, at_once);
 }
 
-bool px_close_resting(struct px_session *s, enum px_end why)
+bool px_close_resting(struct px_session *s, enum px_end_reason why)
 {
     if (s->ended)
         return true;
--- a/proxy/conn.c
+++ b/proxy/conn.c
@@ -76,7 +76,8 @@
            "request %.*s session %llu to %s: floor %d %llu.%llu, seen %llu.%llu, begun %d",
            (int)s->id.len, s->id.p, (unsigned long long)s->state.session, c->inst->cfg.id,
            floor, (unsigned long long)s->floor.term, (unsigned long long)s->floor.pos,
-           (unsigned long long)s->seen.term, (unsigned long long)s->seen.pos, s->begun);
+           (unsigned long long)s->last_commit.term, (unsigned long long)s->last_commit.pos,
+           s->txn_begun);
     c->phase = PX_C_RUNNING;
     px_part_done(s, PX_T_SETUP);
     s->sent_at = c->used_at = ck_now();
@@ -94,9 +95,9 @@
         *sent = send_own(c, &c->setup, false, s->floor);
         return true;
     }
-    if (s->txn == PX_IDLE || s->begun)
+    if (s->txn == PX_IDLE || s->txn_begun)
         return false;
-    c->setup = (struct px_stmt){.verb = PX_V_BEGIN, .read_only = s->read_only};
+    c->setup = (struct px_stmt){.verb = PX_V_BEGIN, .read_only = s->txn_read_only};
     c->phase = PX_C_SETUP;
     *sent = send_own(c, &c->setup, s->has_floor, s->floor);
     return true;
@@ -198,7 +199,7 @@
     else if (c->error == ER_NONE)
         px_window_done(&c->inst->window, us, px_inst_running(c->inst) - 1, ck_now());
     if (c->error == ER_NONE && c->session->stmt.verb != PX_V_COMMIT)
-        px_pace_note(&c->inst->group->pace, c->session->kind, &c->inst->pace, us);
+        px_pace_note(&c->inst->group->pace, c->session->pace_kind, &c->inst->pace, us);
 }
 
 /* Of the answers, only those to reads tell of the instance: a write may fail by what it writes.
@@ -245,7 +246,7 @@
         px_conn_idle(c);
     else
         px_conn_close(c);
-    if (px_in_txn(s) && s->begun)
+    if (px_in_txn(s) && s->txn_begun)
         px_lost(s, c, false);
     else
         px_not_sent(s, c, why);
@@ -259,7 +260,7 @@
         return;
     }
     if (c->setup.verb == PX_V_BEGIN)
-        s->begun = true;
+        s->txn_begun = true;
     else
         px_setup_done(&s->state, &c->applied, &c->setup);
     advance(c);
--- a/proxy/groups.c
+++ b/proxy/groups.c
@@ -166,7 +166,7 @@
 {
     const struct px_inst *in = g->cfg.primary >= 0 ? g->inst[g->cfg.primary] : NULL;
     for (const struct px_conn *c = in ? in->conns : NULL; c; c = c->next) {
-        if (c->session && !c->session->read_only)
+        if (c->session && !c->session->txn_read_only)
             return true;
     }
     return false;
--- a/proxy/limits.c
+++ b/proxy/limits.c
@@ -59,18 +59,18 @@
 
 void px_permit_begin(struct px_session *s)
 {
-    s->permit = has_limit(s->p, s->account) ? PX_P_DUE : PX_P_NONE;
+    s->permit = has_limit(s->p, s->account) ? PX_PERMIT_NEEDED : PX_PERMIT_NONE;
 }
 
 enum lm_verdict px_permit_take(struct px_session *s)
 {
-    if (s->permit != PX_P_DUE)
+    if (s->permit != PX_PERMIT_NEEDED)
         return LM_GO;
     end_if_due(s->p, ck_now());
     struct px_account *a = account_of(s->p, s->account);
     enum lm_verdict v = lm_take(&a->stock, s->route.priority, ck_now());
     if (v == LM_GO) {
-        s->permit = PX_P_HAS;
+        s->permit = PX_PERMIT_TAKEN;
         px_part_done(s, PX_T_PERMIT);
         a->begun++;
     } else if (v == LM_WAIT) {
@@ -81,7 +81,7 @@
 
 void px_permit_again(struct px_session *s)
 {
-    if (s->permit == PX_P_HAS)
+    if (s->permit == PX_PERMIT_TAKEN)
         lm_extra(&account_of(s->p, s->account)->stock);
 }
 
@@ -124,7 +124,7 @@
 {
     for (struct px_session *s = p->active, *next; s; s = next) {
         next = s->next_active;
-        bool waits = s->stage == PX_S_PARKED && s->permit == PX_P_DUE;
+        bool waits = s->stage == PX_S_PARKED && s->permit == PX_PERMIT_NEEDED;
         if (waits && strcmp(s->account, account) == 0)
             px_route_work(s);
     }
--- a/proxy/outcome.c
+++ b/proxy/outcome.c
@@ -32,7 +32,7 @@
 {
     if (in->gone)
         return; /* its place in the group is another's now */
-    s->skip |= 1u << in->at;
+    s->skip_mask |= 1u << in->at;
 }
 
 static void note_behind(struct px_session *s, struct px_inst *in)
@@ -106,12 +106,12 @@
 
 static void note_commit(struct px_session *s, const struct px_conn *c)
 {
-    bool commits = s->stmt.verb == PX_V_COMMIT ? s->wrote : s->writes && !px_in_txn(s);
+    bool commits = s->stmt.verb == PX_V_COMMIT ? s->txn_wrote : s->writes && !px_in_txn(s);
     if (!commits || !c->has_pos)
         return;
-    bool same = strcmp(s->seen_in, s->route.group) == 0;
-    s->seen = same ? ps_max(s->seen, c->pos) : c->pos;
-    sr_copy(s->seen_in, sizeof(s->seen_in), sr_from(s->route.group));
+    bool same = strcmp(s->last_commit_group, s->route.group) == 0;
+    s->last_commit = same ? ps_max(s->last_commit, c->pos) : c->pos;
+    sr_copy(s->last_commit_group, sizeof(s->last_commit_group), sr_from(s->route.group));
 }
 
 static void count_read(struct px_session *s, const struct px_conn *c)
@@ -127,7 +127,7 @@
 {
     bool ends = s->stmt.verb == PX_V_COMMIT;
     if (c->error == ER_NONE)
-        s->wrote = s->wrote || s->writes;
+        s->txn_wrote = s->txn_wrote || s->writes;
     s->txn = ends ? PX_IDLE : c->state;
     if (!ends && c->state == PX_IDLE)
         s->txn = PX_TXN_FAILED; /* it is not open there any more: nothing of it is kept */
@@ -140,7 +140,7 @@
         px_inst_pump(c->inst);
         return;
     }
-    s->lost = s->txn != PX_IDLE;
+    s->txn_rolled_back = s->txn != PX_IDLE;
     c->session = NULL;
     px_answer(s, c);
     release(c);
@@ -187,20 +187,20 @@
 static void fail_txn(struct px_session *s)
 {
     s->txn = PX_TXN_FAILED;
-    s->lost = true;
+    s->txn_rolled_back = true;
 }
 
 /* A transaction's connection is gone: it was rolled back, unless its commit was under way. */
 static void txn_lost(struct px_session *s, bool sent)
 {
     bool ends = s->stmt.verb == PX_V_COMMIT;
-    bool in_doubt = ends && s->wrote && sent;
-    if (s->stage == PX_S_REST) { /* between two statements: the next one is told */
+    bool in_doubt = ends && s->txn_wrote && sent;
+    if (s->stage == PX_S_IDLE) { /* between two statements: the next one is told */
         fail_txn(s);
         return;
     }
     s->txn = ends ? PX_IDLE : PX_TXN_FAILED;
-    s->lost = !ends;
+    s->txn_rolled_back = !ends;
     px_refuse(s, in_doubt ? ER_LOST : ER_ABORTED,
               in_doubt ? "the connection was lost with the commit on its way"
                        : "the connection was lost; nothing of the transaction is kept");
@@ -210,7 +210,7 @@
 {
     struct px_inst *in = c->inst;
     s->p->c.lost += sent;
-    if (px_in_txn(s) && s->begun) {
+    if (px_in_txn(s) && s->txn_begun) {
         txn_lost(s, sent);
         return;
     }
@@ -252,7 +252,7 @@
 static void expire_txn(struct px_session *s, struct px_conn *c, bool sent)
 {
     bool ends = s->stmt.verb == PX_V_COMMIT;
-    bool in_doubt = ends && s->wrote && sent;
+    bool in_doubt = ends && s->txn_wrote && sent;
     s->conn = NULL;
     c->session = NULL;
     if (ends)
@@ -260,7 +260,7 @@
     else
         px_conn_close(c); /* which rolls back */
     s->txn = ends ? PX_IDLE : PX_TXN_FAILED;
-    s->lost = !ends;
+    s->txn_rolled_back = !ends;
     px_refuse(s, in_doubt ? ER_TIMEOUT : ER_ABORTED,
               in_doubt ? "no answer to the commit in its time"
                        : "no answer in its time; the transaction was rolled back");
@@ -271,7 +271,7 @@
 {
     struct px_conn *c = s->conn;
     bool sent = c->phase == PX_C_RUNNING;
-    if (px_in_txn(s) && s->begun) {
+    if (px_in_txn(s) && s->txn_begun) {
         expire_txn(s, c, sent);
         return;
     }
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -141,8 +141,8 @@
 
 /* What a session's statement waits for. */
 enum px_stage {
-    PX_S_REST,        /* there is none */
-    PX_S_BEGUN,       /* its first look, which may refuse it */
+    PX_S_IDLE,        /* there is none */
+    PX_S_STARTED,     /* its first look, which may refuse it */
     PX_S_PARKED,      /* a primary, a lease, a position, or the next try */
     PX_S_WAITING,     /* a connection to `inst` */
     PX_S_AT_INSTANCE, /* its answer, on `conn` */
@@ -150,9 +150,9 @@
 
 /* An operation and its account's limit. */
 enum px_permit {
-    PX_P_NONE, /* no operation, or one that needs no permit */
-    PX_P_DUE,  /* it begins when there is a permit */
-    PX_P_HAS,
+    PX_PERMIT_NONE,   /* no operation, or one that needs no permit */
+    PX_PERMIT_NEEDED, /* it begins when there is a permit */
+    PX_PERMIT_TAKEN,
 };
 
 /* A client account at this node. */
@@ -163,18 +163,18 @@
 };
 
 /* Why this node closed a caller's connection. */
-enum px_end {
-    PX_END_BY_CALLER,   /* it said so */
-    PX_END_REFUSED,     /* by an error that ends the session */
-    PX_END_ELSEWHERE,   /* it rested, and another node is the place for it now */
-    PX_END_NOT_TAKEN,   /* relayed to us: another holder is to be asked */
-    PX_END_HOLDER_ENDS, /* the node that served it ends it */
-    PX_END_HOLDER_LOST, /* the connection to the node that served it is gone */
-    PX_END_SILENT,      /* the node that served it is silent: another is the place for it */
-    PX_END_NO_HOLDER,   /* no node opened it */
-    PX_END_NOT_READ,    /* the node that serves it takes no more */
-    PX_END_LEFT,        /* told to leave, it did not in time */
-    PX_ENDS
+enum px_end_reason {
+    PX_END_BY_CALLER,     /* it said so */
+    PX_END_REFUSED,       /* by an error that ends the session */
+    PX_END_MOVED,         /* it rested, and another node is the place for it now */
+    PX_END_NOT_ACCEPTED,  /* relayed to us: another holder is to be asked */
+    PX_END_HOLDER_CLOSED, /* the node that served it ends it */
+    PX_END_HOLDER_LOST,   /* the connection to the node that served it is gone */
+    PX_END_HOLDER_SILENT, /* the node that served it is silent: another is the place for it */
+    PX_END_NO_HOLDER,     /* no node opened it */
+    PX_END_QUEUE_FULL,    /* the node that serves it takes no more */
+    PX_END_TIMEOUT,       /* told to leave, it did not in time */
+    PX_END_REASONS
 };
 
 /* A caller's connection and what belongs to it. */
@@ -185,46 +185,46 @@
     /* the connection */
     struct nt_conn *net; /* NULL: the caller has gone */
     bool ended;          /* it was closed here, for this reason */
-    enum px_end end;
+    enum px_end_reason end_reason;
     struct sr_buf in;       /* what has come and is not taken yet */
-    bool reading;           /* its input is being worked through */
-    bool paused;            /* more than a message of input: not read on */
+    bool handling_input;    /* its input is being worked through */
+    bool reading_paused;    /* more than a message of input: not read on */
     bool opened;            /* greeted by us */
-    bool came_relayed;      /* another node relays it to us */
-    bool to_pass_on;        /* and reaches no holder itself: we may relay it once more */
+    bool relayed_to_us;     /* another node relays it to us */
+    bool may_pass_on;       /* and reaches no holder itself: we may relay it once more */
     struct px_relay *relay; /* another node serves it; NULL: we do */
     int64_t opened_at;
-    int64_t left_at; /* it was ended here, and who relays it is told; 0: not so */
-    int64_t since;   /* it connected, or its last statement ended */
+    int64_t end_sent_at; /* it was ended here, and who relays it is told; 0: not so */
+    int64_t idle_since;  /* it connected, or its last statement ended */
 
     /* what it keeps from statement to statement */
     char database[CG_NAME];
-    char key[AC_KEY];        /* that its caller showed; in no log */
-    char account[AC_NAME];   /* of its operation; what instances are told */
-    uint64_t least_document; /* who relays it acts on this version: no older one may answer */
-    struct px_state state;   /* values and prepared names */
-    struct ps_pos seen;      /* its last commit, in group `seen_in` */
-    char seen_in[VW_NAME];
+    char key[AC_KEY];          /* that its caller showed; in no log */
+    char account[AC_NAME];     /* of its operation; what instances are told */
+    uint64_t min_document;     /* who relays it acts on this version: no older one may answer */
+    struct px_state state;     /* values and prepared names */
+    struct ps_pos last_commit; /* its last commit, in group `seen_in` */
+    char last_commit_group[VW_NAME];
 
     enum px_permit permit; /* of its operation */
 
     /* its transaction */
     enum px_txn txn;
-    bool read_only;
-    bool begun; /* at the instance, too */
-    bool wrote;
-    bool lost;             /* it failed because its connection went: nothing of it is left */
+    bool txn_read_only;
+    bool txn_begun; /* at the instance, too */
+    bool txn_wrote;
+    bool txn_rolled_back;  /* it failed because its connection went: nothing of it is left */
     struct cg_route route; /* of the transaction, or of the statement */
     struct px_conn *conn;  /* at work for it, or pinned by its transaction */
 
     /* its statement */
     enum px_stage stage;
     struct px_session *prev_active, *next_active; /* the proxy's, with a statement */
-    struct sr_buf line;                           /* holds the id and the text */
+    struct sr_buf request;                        /* holds the id and the text */
     struct sr_str id, text;
     struct px_stmt stmt; /* the text, taken apart */
     bool writes;
-    unsigned kind; /* px_pace_kind */
+    unsigned pace_kind; /* px_pace_kind */
     int64_t arrived, deadline;
     bool has_floor;
     struct ps_pos floor; /* what a read must see */
@@ -235,10 +235,10 @@
     int64_t waiting_since;
     int64_t retry_at; /* PX_S_PARKED: looked at again then */
     int64_t sent_at;
-    int64_t part_since; /* its present px_part began */
-    int attempts;       /* those that count against the route's */
-    int offers;         /* how often it was sent */
-    unsigned skip;      /* bits of instances that could not serve it */
+    int64_t stage_since; /* its present px_part began */
+    int attempts;        /* those that count against the route's */
+    int offers;          /* how often it was sent */
+    unsigned skip_mask;  /* bits of instances that could not serve it */
 };
 
 /* Whom bytes are exchanged with, beside callers. */
@@ -267,17 +267,18 @@
     uint64_t behind;  /* an instance lacked a read's position */
     uint64_t retries; /* another try of a statement */
     uint64_t parked;
-    uint64_t lost;               /* connections, with a statement on them */
-    uint64_t opened;             /* connections to instances */
-    uint64_t replaced;           /* of these, closed for another account's */
-    uint64_t unknown_keys;       /* operations and sessions refused for their key */
-    uint64_t relayed;            /* sessions that another node serves */
-    uint64_t by_others;          /* of these, by way of a node that is no holder */
-    uint64_t passed_on;          /* sessions that came relayed and went on to a holder */
-    uint64_t trials;             /* of nodes that were doubted or silent */
-    uint64_t silent_told;        /* questions whose node was silent, answered here */
-    uint64_t passed, served;     /* statements passed to other nodes; served for others */
-    uint64_t ends[PX_ENDS], cut; /* sessions that were closed here; with a question open */
+    uint64_t lost;           /* connections, with a statement on them */
+    uint64_t opened;         /* connections to instances */
+    uint64_t replaced;       /* of these, closed for another account's */
+    uint64_t unknown_keys;   /* operations and sessions refused for their key */
+    uint64_t relayed;        /* sessions that another node serves */
+    uint64_t by_others;      /* of these, by way of a node that is no holder */
+    uint64_t passed_on;      /* sessions that came relayed and went on to a holder */
+    uint64_t trials;         /* of nodes that were doubted or silent */
+    uint64_t silent_told;    /* questions whose node was silent, answered here */
+    uint64_t passed, served; /* statements passed to other nodes; served for others */
+    uint64_t ends[PX_END_REASONS],
+        cut; /* sessions that were closed here; with a question open */
     uint64_t
         dropped; /* of these, with bytes that came after the close and were not looked at */
     uint64_t log_lines_left_out;
@@ -355,16 +356,16 @@
 void px_fail_cut_off(struct px_session *s);
 /* Close the caller's connection, at once or after what is queued, and note why: a caller whose
  * question is open does not learn whether it ran. */
-void px_close(struct px_session *s, enum px_end why, bool at_once);
-const char *px_end_name(enum px_end why);
+void px_close(struct px_session *s, enum px_end_reason why, bool at_once);
+const char *px_end_reason_name(enum px_end_reason why);
 /* So many bytes came after px_close and were not looked at. */
 void px_note_dropped(struct px_session *s, size_t bytes);
 /* Close the connection of a session at rest. False, and it stays open: its caller has said
  * something that is not read yet, or is still being told something, which comes first. */
-bool px_close_resting(struct px_session *s, enum px_end why);
+bool px_close_resting(struct px_session *s, enum px_end_reason why);
 /* The same for a session at rest that another node may relay to us: that node is told, and what
  * still comes is not run. Whoever ends a session asks again until its connection is closed. */
-void px_end_resting(struct px_session *s, enum px_end why);
+void px_end_resting(struct px_session *s, enum px_end_reason why);
 /* When in a span it is this session's turn: they don't all come back at once. */
 int64_t px_turn(const struct px_session *s, int64_t span_us);
 /* A failure that ends the session. */
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -131,7 +131,7 @@
     if (!p->stopping || now - p->stop_began < p->cfg.grace_us * STOP_FORCE_PERCENT / 100)
         return;
     for (struct px_session *s = p->sessions; s; s = s->next) {
-        if (s->stage == PX_S_REST && px_in_txn(s) && s->conn)
+        if (s->stage == PX_S_IDLE && px_in_txn(s) && s->conn)
             px_abort_txn(s);
     }
 }
@@ -403,9 +403,9 @@
     for (int k = 1; k < ER_COUNT; k++)
         sr_buf_printf(out, "ferry_session_failed_by_total{reason=\"%s\"} %llu\n", er_name(k),
                       (unsigned long long)p->c.by_reason[k]);
-    for (int k = 0; k < PX_ENDS; k++)
-        sr_buf_printf(out, "ferry_session_closed_total{why=\"%s\"} %llu\n", px_end_name(k),
-                      (unsigned long long)p->c.ends[k]);
+    for (int k = 0; k < PX_END_REASONS; k++)
+        sr_buf_printf(out, "ferry_session_closed_total{why=\"%s\"} %llu\n",
+                      px_end_reason_name(k), (unsigned long long)p->c.ends[k]);
     put_traffic(out, p);
     put_passed(out, p);
     put_accounts(out, p);
--- a/proxy/relay.c
+++ b/proxy/relay.c
@@ -42,7 +42,7 @@
     bool greeted;           /* by the other node */
     bool spoke;             /* the caller got something: another greeting would be too many */
     bool left;              /* the caller is being sent away, for this reason */
-    enum px_end why;
+    enum px_end_reason why;
     int64_t left_at;
     bool rests;           /* there, after the last answer */
     bool asked;           /* a whole message went there since */
@@ -94,7 +94,7 @@
 bool px_should_relay(const struct px_session *s)
 {
     struct px_group *g = px_wanted_group(s);
-    if (!g || s->p->n_nodes < 2 || (s->came_relayed && (!s->to_pass_on || g->held)))
+    if (!g || s->p->n_nodes < 2 || (s->relayed_to_us && (!s->may_pass_on || g->held)))
         return false;
     if (px_cut_off(s->p))
         return true;
@@ -162,12 +162,12 @@
 /* Close the session, but not in the middle of a question. */
 static void end_left(struct px_relay *r, int64_t now)
 {
-    if (r->q.len == 0 || r->s->came_relayed || now - r->left_at > REST_OF_LINE_US)
+    if (r->q.len == 0 || r->s->relayed_to_us || now - r->left_at > REST_OF_LINE_US)
         px_end_resting(r->s, r->why);
 }
 
 /* The caller is sent away; what it says before it learns of it is refused. */
-static void leave(struct px_relay *r, enum px_end why)
+static void leave(struct px_relay *r, enum px_end_reason why)
 {
     r->left = true;
     r->why = why;
@@ -195,7 +195,7 @@
 
 /* What is open there has no answer, and will have none that the caller gets: say what is true
  * of it, and send the caller away. `sent`: it went out. */
-static void tell_unanswered(struct px_relay *r, bool sent, enum px_end why)
+static void tell_unanswered(struct px_relay *r, bool sent, enum px_end_reason why)
 {
     struct px_session *s = r->s;
     bool harmless = !sent || px_question_harmless(&r->q);
@@ -234,7 +234,7 @@
     }
     if (r->asked)
         tell_not_run(r);
-    leave(r, PX_END_HOLDER_ENDS);
+    leave(r, PX_END_HOLDER_CLOSED);
 }
 
 /* Pass the first `n` bytes of what came on; they are whole lines. */
@@ -271,7 +271,7 @@
     r->greeted = true;
     p->c.relayed++;
     p->c.by_others += r->by_other;
-    p->c.passed_on += r->s->came_relayed;
+    p->c.passed_on += r->s->relayed_to_us;
     if (r->by_other)
         r->nb->passed_at = ck_now();
     send_early(r);
@@ -324,7 +324,7 @@
 static void lost(struct px_relay *r)
 {
     nb_doubt(&r->nb->b, ck_now());
-    if (r->left || !r->s->net || r->s->left_at)
+    if (r->left || !r->s->net || r->s->end_sent_at)
         return;
     if (r->asked) {
         tell_unanswered(r, true, PX_END_HOLDER_LOST);
@@ -357,7 +357,7 @@
     struct px_session *s = r->s;
     if (!s->net)
         return;
-    if (s->came_relayed)
+    if (s->relayed_to_us)
         px_close(s, PX_END_NO_HOLDER, true);
     else if (px_cut_off(s->p))
         px_fail_cut_off(s);
@@ -370,7 +370,7 @@
 {
     const struct px_proxy *p = r->s->p;
     bool isolated = px_cut_off(p) && now < p->isolated_until;
-    return !isolated && now - r->s->since < TRY_FOR_US;
+    return !isolated && now - r->s->idle_since < TRY_FOR_US;
 }
 
 static void connect_next(struct px_relay *r)
@@ -415,7 +415,7 @@
     r->asked_at = ck_now();
     px_question_said(&r->q, r->s->p->cfg.codec, r->txn, data, len);
     if (r->q.open > 0)
-        tell_unanswered(r, false, PX_END_SILENT);
+        tell_unanswered(r, false, PX_END_HOLDER_SILENT);
 }
 
 /* The session there is over. */
@@ -446,7 +446,7 @@
         return;
     }
     if (!r->net || !r->greeted || nt_queued(r->net) > MAX_QUEUED) {
-        px_close(s, PX_END_NOT_READ, true);
+        px_close(s, PX_END_QUEUE_FULL, true);
         return;
     }
     send_there(r, data, len);
@@ -485,9 +485,9 @@
     struct px_session *s = r->s;
     if (r->asked) {
         if (px_question_harmless(&r->q) || px_heard(s->p) - r->asked_at > longest_wait(s))
-            tell_unanswered(r, true, PX_END_SILENT);
+            tell_unanswered(r, true, PX_END_HOLDER_SILENT);
     } else if (r->rests && now - r->nb->b.silent_at > px_turn(s, MOVE_OVER_US)) {
-        leave(r, PX_END_SILENT);
+        leave(r, PX_END_HOLDER_SILENT);
     }
 }
 
@@ -517,7 +517,7 @@
         px_end_resting(s, PX_END_REFUSED);
         return;
     }
-    if (r && r->left && s->net && !s->left_at)
+    if (r && r->left && s->net && !s->end_sent_at)
         end_left(r, now);
     if (!r || !r->net)
         return;
--- a/proxy/session.c
+++ b/proxy/session.c
@@ -23,7 +23,7 @@
 {
     if (!px_configured(s->p))
         return;
-    if (s->p->catalog.version < s->least_document)
+    if (s->p->catalog.version < s->min_document)
         return; /* who relays it acts on a newer document: it comes, or another is asked */
     const struct cg_route *r = cg_route(&s->p->catalog, sr_from(s->database));
     if (!r) {
@@ -51,16 +51,16 @@
         px_fail_and_close(s, ER_BAD_INPUT, "the name of a database is expected");
         return;
     }
-    s->came_relayed = px_is_relayed(m, &s->least_document, &s->to_pass_on);
-    if (s->came_relayed)
+    s->relayed_to_us = px_is_relayed(m, &s->min_document, &s->may_pass_on);
+    if (s->relayed_to_us)
         nt_meter(s->net, &s->p->served_traffic);
     /* One that is too long is nobody's. */
-    if (!sr_copy(s->key, sizeof(s->key), s->came_relayed ? m->expect : m->who))
+    if (!sr_copy(s->key, sizeof(s->key), s->relayed_to_us ? m->expect : m->who))
         s->key[0] = 0;
     /* Closed before a greeting, so that another holder is asked. A node that is cut off from
      * control is listed for three seconds more and would refuse whatever it is asked. */
-    if (s->came_relayed && (s->p->stopping || px_cut_off(s->p))) {
-        px_close(s, PX_END_NOT_TAKEN, true);
+    if (s->relayed_to_us && (s->p->stopping || px_cut_off(s->p))) {
+        px_close(s, PX_END_NOT_ACCEPTED, true);
         return;
     }
     try_open(s);
@@ -86,18 +86,18 @@
 {
     struct px_msg m;
     size_t at = 0;
-    if (s->reading)
+    if (s->handling_input)
         return; /* the loop below goes on by itself */
-    s->reading = true;
-    while (s->net && s->stage == PX_S_REST && (s->opened || !s->database[0]) &&
+    s->handling_input = true;
+    while (s->net && s->stage == PX_S_IDLE && (s->opened || !s->database[0]) &&
            px_next_msg(s->p->cfg.codec, &s->in, &at, &m))
         take(s, &m);
-    s->reading = false;
+    s->handling_input = false;
     px_consume(&s->in, at);
     bool full = s->in.len > PX_MAX_LINE;
-    if (s->net && full != s->paused) {
-        s->paused = full;
-        if (full && s->stage == PX_S_REST)
+    if (s->net && full != s->reading_paused) {
+        s->reading_paused = full;
+        if (full && s->stage == PX_S_IDLE)
             px_fail_and_close(s, ER_TOO_LARGE, "a message of more than 1 MiB");
         else
             nt_pause_reading(s->net, full);
@@ -116,7 +116,7 @@
 {
     struct px_session *s = ud;
     (void)net;
-    if (s->left_at)
+    if (s->end_sent_at)
         return; /* said not to be run */
     if (s->relay) {
         px_relay_bytes(s, data, len);
@@ -132,7 +132,7 @@
     struct px_proxy *p = s->p;
     (void)opened;
     (void)refused;
-    if (s->ended && s->end != PX_END_BY_CALLER && nt_dropped(net) > 0)
+    if (s->ended && s->end_reason != PX_END_BY_CALLER && nt_dropped(net) > 0)
         px_note_dropped(s, nt_dropped(net));
     s->net = NULL;
     px_relay_end(s);
@@ -147,7 +147,7 @@
     p->n_sessions--;
     px_state_free(&s->state);
     sr_buf_free(&s->in);
-    sr_buf_free(&s->line);
+    sr_buf_free(&s->request);
     free(s);
 }
 
@@ -161,7 +161,7 @@
     struct px_session *s = sr_alloc(sizeof(*s));
     s->p = p;
     s->net = net;
-    s->since = ck_now();
+    s->idle_since = ck_now();
     s->state.session = ++p->last_number;
     s->next = p->sessions;
     if (s->next)
@@ -193,7 +193,7 @@
     try_open(s);
     if (s->opened)
         px_session_go_on(s);
-    else if (!s->relay && px_heard(s->p) - s->since > UNANSWERED_OPEN_US)
+    else if (!s->relay && px_heard(s->p) - s->idle_since > UNANSWERED_OPEN_US)
         px_fail_and_close(s, ER_NO_LEASE, "no configuration has come yet; retry in 500 ms");
 }
 
@@ -201,8 +201,8 @@
 static void txn_tick(struct px_session *s)
 {
     int64_t bound = s->p->catalog.txn_idle_us;
-    bool rests = s->txn != PX_IDLE && s->stage == PX_S_REST;
-    if (!rests || !bound || px_heard(s->p) - s->since < bound)
+    bool rests = s->txn != PX_IDLE && s->stage == PX_S_IDLE;
+    if (!rests || !bound || px_heard(s->p) - s->idle_since < bound)
         return;
     if (s->conn)
         px_abort_txn(s);
@@ -210,24 +210,24 @@
 
 static bool rests(const struct px_session *s)
 {
-    if (s->left_at || s->ended)
+    if (s->end_sent_at || s->ended)
         return false;
     if (s->relay)
         return px_rests_elsewhere(s);
-    return s->opened && s->stage == PX_S_REST && s->txn == PX_IDLE && s->in.len == 0;
+    return s->opened && s->stage == PX_S_IDLE && s->txn == PX_IDLE && s->in.len == 0;
 }
 
 /* What a caller sends after the close met it on its way. A question that another node passed on
  * would be lost, so that node is told first, and what still comes is not run. */
-void px_end_resting(struct px_session *s, enum px_end why)
+void px_end_resting(struct px_session *s, enum px_end_reason why)
 {
     struct sr_buf b = {0};
     struct px_msg m = {.kind = PX_END};
-    if (!s->came_relayed) {
+    if (!s->relayed_to_us) {
         px_close_resting(s, why);
         return;
     }
-    s->left_at = ck_now();
+    s->end_sent_at = ck_now();
     s->p->cfg.codec->put(&b, &m);
     nt_send(s->net, b.p, b.len);
     sr_buf_free(&b);
@@ -235,8 +235,8 @@
 
 static void left_tick(struct px_session *s, int64_t now)
 {
-    if (now - s->left_at > LEAVE_US)
-        px_close(s, PX_END_LEFT, true);
+    if (now - s->end_sent_at > LEAVE_US)
+        px_close(s, PX_END_TIMEOUT, true);
 }
 
 int64_t px_turn(const struct px_session *s, int64_t span_us)
@@ -253,7 +253,7 @@
     if (s->relay || !px_cut_off(p) || !rests(s) || s->opened_at > p->leased_at)
         return;
     if (px_heard(p) - since > px_turn(s, CUT_OFF_CLOSE_OVER_US))
-        px_end_resting(s, PX_END_ELSEWHERE);
+        px_end_resting(s, PX_END_MOVED);
 }
 
 /* Another node holds the group now: the session's next life is there. */
@@ -262,33 +262,33 @@
     const struct px_group *g = px_group_of(s);
     if (s->relay || !g || g->held || !rests(s))
         return;
-    if (s->p->stopping && !s->came_relayed)
+    if (s->p->stopping && !s->relayed_to_us)
         return; /* the balancer would send its caller here again: stop_tick */
     if (now - g->let_go_at > px_turn(s, CUT_OFF_CLOSE_OVER_US))
-        px_end_resting(s, PX_END_ELSEWHERE);
+        px_end_resting(s, PX_END_MOVED);
 }
 
 static void stop_tick(struct px_session *s, int64_t now)
 {
     struct px_proxy *p = s->p;
-    if (!p->stopping || s->left_at)
+    if (!p->stopping || s->end_sent_at)
         return;
     bool late = now - p->stop_began > p->cfg.grace_us * STOP_LEAVE_PERCENT / 100;
-    if (late && s->came_relayed && s->stage == PX_S_REST && s->in.len == 0 &&
+    if (late && s->relayed_to_us && s->stage == PX_S_IDLE && s->in.len == 0 &&
         !px_asked_elsewhere(s))
-        px_end_resting(s, PX_END_ELSEWHERE);
+        px_end_resting(s, PX_END_MOVED);
     if (!rests(s))
         return;
     int64_t from = p->cfg.grace_us * STOP_CLOSE_FROM_PERCENT / 100;
     int64_t mine = px_turn(s, p->cfg.grace_us * STOP_CLOSE_OVER_PERCENT / 100);
     if (now - p->stop_began > from + mine)
-        px_end_resting(s, PX_END_ELSEWHERE);
+        px_end_resting(s, PX_END_MOVED);
 }
 
 /* Its place is elsewhere: here, or this node, ends. */
 static void leave_if_due(struct px_session *s, int64_t now)
 {
-    if (s->left_at)
+    if (s->end_sent_at)
         return;
     stop_tick(s, now);
     cut_off_tick(s);
@@ -299,7 +299,7 @@
 {
     for (struct px_session *s = p->sessions, *next; s; s = next) {
         next = s->next;
-        if (s->left_at) {
+        if (s->end_sent_at) {
             left_tick(s, now);
             continue;
         }
--- a/proxy/statement.c
+++ b/proxy/statement.c
@@ -41,15 +41,15 @@
     if (!take_route(s))
         return;
     px_permit_begin(s);
-    s->part_since = ck_now();
+    s->stage_since = ck_now();
     if (px_permit_take(s) == LM_OVER) {
         s->arrived = ck_now();
         px_permit_refuse(s);
         return;
     }
     s->txn = PX_IN_TXN;
-    s->read_only = s->stmt.read_only;
-    s->begun = s->wrote = s->lost = false;
+    s->txn_read_only = s->stmt.read_only;
+    s->txn_begun = s->txn_wrote = s->txn_rolled_back = false;
     px_answer_own(s); /* it begins at an instance with its first statement */
 }
 
@@ -71,7 +71,7 @@
         return;
     }
     s->writes = false;
-    if (s->lost) {
+    if (s->txn_rolled_back) {
         s->txn = PX_IDLE;
         refuse(s, ER_ABORTED, "the transaction was rolled back before");
         return;
@@ -84,7 +84,7 @@
 {
     if (s->txn != PX_TXN_FAILED)
         return false;
-    if (s->lost)
+    if (s->txn_rolled_back)
         refuse(s, ER_ABORTED, "the transaction was rolled back");
     else
         malformed(s, "the transaction has failed; it can only be ended");
@@ -144,17 +144,17 @@
 /* The line is kept: the text goes to an instance as it came, perhaps twice. */
 static void keep(struct px_session *s, const struct px_msg *m)
 {
-    s->line.len = 0;
-    sr_buf_add(&s->line, m->id.p, m->id.len);
-    sr_buf_add(&s->line, m->text.p, m->text.len);
-    s->id = (struct sr_str){s->line.p, m->id.len};
-    s->text = (struct sr_str){s->line.p + m->id.len, m->text.len};
+    s->request.len = 0;
+    sr_buf_add(&s->request, m->id.p, m->id.len);
+    sr_buf_add(&s->request, m->text.p, m->text.len);
+    s->id = (struct sr_str){s->request.p, m->id.len};
+    s->text = (struct sr_str){s->request.p + m->id.len, m->text.len};
 }
 
 void px_statement(struct px_session *s, const struct px_msg *m)
 {
     keep(s, m);
-    s->p->c.served += s->came_relayed;
+    s->p->c.served += s->relayed_to_us;
     s->p->cfg.codec->parse_text(s->text, &s->stmt);
     s->offers = 0;
     switch (s->stmt.verb) {
--- a/proxy/targets.c
+++ b/proxy/targets.c
@@ -154,7 +154,7 @@
     if (!g || g->n_holders == 0 || t->n == PX_MAX_TRIES)
         return to;
     to.node = pick_holder(s, g, t, now);
-    if (to.node >= 0 || s->came_relayed || !may_seek(s->p, seeks, now))
+    if (to.node >= 0 || s->relayed_to_us || !may_seek(s->p, seeks, now))
         return to;
     to.node = pick_other(s, g, t, now);
     to.passes_on = to.node >= 0;
--- a/proxy/work.c
+++ b/proxy/work.c
@@ -25,31 +25,31 @@
 void px_part_done(struct px_session *s, enum px_part part)
 {
     int64_t now = ck_now();
-    px_stage(&s->p->stages, part, now - s->part_since);
-    s->part_since = now;
+    px_stage(&s->p->stages, part, now - s->stage_since);
+    s->stage_since = now;
 }
 
 void px_begin_work(struct px_session *s)
 {
     struct px_proxy *p = s->p;
-    s->arrived = s->part_since = ck_now();
+    s->arrived = s->stage_since = ck_now();
     s->deadline = s->arrived + s->route.limit_us;
     s->attempts = s->offers = 0;
-    s->skip = 0;
-    s->kind = px_pace_kind(sr_from(s->database), s->writes);
+    s->skip_mask = 0;
+    s->pace_kind = px_pace_kind(sr_from(s->database), s->writes);
     s->prev_active = NULL;
     s->next_active = p->active;
     if (p->active)
         p->active->prev_active = s;
     p->active = s;
     p->c.statements++;
-    s->stage = PX_S_BEGUN;
+    s->stage = PX_S_STARTED;
     px_route_work(s);
 }
 
 void px_end_work(struct px_session *s)
 {
-    if (s->stage == PX_S_REST)
+    if (s->stage == PX_S_IDLE)
         return;
     if (s->stage == PX_S_WAITING)
         px_inst_unwait(s->inst, s);
@@ -60,7 +60,7 @@
     if (s->next_active)
         s->next_active->prev_active = s->prev_active;
     s->prev_active = s->next_active = NULL;
-    s->stage = PX_S_REST;
+    s->stage = PX_S_IDLE;
     s->inst = NULL;
 }
 
@@ -76,7 +76,7 @@
 
 bool px_needs_primary(const struct px_session *s)
 {
-    if (s->writes || (px_in_txn(s) && !s->read_only))
+    if (s->writes || (px_in_txn(s) && !s->txn_read_only))
         return true;
     return s->route.reads == CG_NEWEST;
 }
@@ -89,12 +89,12 @@
     bool accounts = px_has_accounts(in->p);
     bool idle = accounts ? px_inst_ready(in, s) : in->n_conns > in->busy;
     return (struct px_candidate){
-        .usable = px_inst_usable(in, now) && !(s->skip & (1u << in->at)),
+        .usable = px_inst_usable(in, now) && !(s->skip_mask & (1u << in->at)),
         .primary = in->at == g->cfg.primary,
         .free_conn = idle || (!accounts && px_inst_has_room(in, now)),
         /* A transaction that rests between two statements holds a connection, but no slot. */
         .waiting = px_inst_running(in) + in->n_waiters,
-        .service_us = px_pace_expect(&g->pace, s->kind, in->pace),
+        .service_us = px_pace_expect(&g->pace, s->pace_kind, in->pace),
         .fail_rate = px_outlier_rate(&in->outlier, now),
         .distance = rt_distance(s->p->cfg.domain, in->cfg.domain),
         .known = in->known,
@@ -109,8 +109,8 @@
     struct ps_pos floor;
     if (!px_age_floor(g, s->route.max_age_us, now, &floor))
         return px_primary(g, now);
-    if (s->route.reads == CG_SESSION && strcmp(s->seen_in, g->cfg.name) == 0)
-        floor = ps_max(floor, s->seen);
+    if (s->route.reads == CG_SESSION && strcmp(s->last_commit_group, g->cfg.name) == 0)
+        floor = ps_max(floor, s->last_commit);
     s->has_floor = true;
     s->floor = floor;
     for (int i = 0; i < g->cfg.n; i++)
@@ -157,7 +157,7 @@
     struct px_group *g = px_group_of(s);
     struct px_inst *in = g ? place(s, g, now) : NULL;
     if (!in) {
-        s->skip = 0; /* nobody is left: all may be asked again */
+        s->skip_mask = 0; /* nobody is left: all may be asked again */
         px_park(s, now + PX_PARK_US);
         return;
     }
@@ -200,7 +200,7 @@
         return;
     if (c->phase != PX_C_RUNNING || px_heard(s->p) - s->sent_at < patience(s))
         return;
-    s->skip |= 1u << c->inst->at;
+    s->skip_mask |= 1u << c->inst->at;
     s->conn = NULL;
     px_conn_orphan(c);
     px_try_again(s, 0, true);
@@ -243,7 +243,7 @@
         px_expire(s);
     else if (s->stage == PX_S_PARKED && px_cut_off(s->p))
         px_refuse(s, ER_NO_LEASE, "this node is cut off; another may serve it, at once");
-    else if (s->permit == PX_P_DUE && px_heard(s->p) - s->arrived > longest_wait(s))
+    else if (s->permit == PX_PERMIT_NEEDED && px_heard(s->p) - s->arrived > longest_wait(s))
         px_refuse(s, ER_LIMIT, "no permit for the account has come; retry in 200 ms");
     else if (s->stage == PX_S_PARKED && now >= s->retry_at)
         px_route_work(s);
