--- a/proxy/conn.c
+++ b/proxy/conn.c
@@ -229,7 +229,7 @@
     px_full_accepted(&in->full, &in->p->fulls, open_conns(in), ck_now());
     in->full_since = 0;
     in->wants_first = false;
-    in->p->c.opened++;
+    in->p->c.opened_conns++;
     px_inst_pump(in);
 }
 
--- a/proxy/documents.c
+++ b/proxy/documents.c
@@ -28,10 +28,10 @@
 
 static void begin_next(struct px_proxy *p)
 {
-    p->document = p->next_document;
-    p->next_document = (struct vw_document){0};
-    cg_take_begin(&p->taking, p->cfg.documents,
-                  (struct sr_str){p->document.text, p->document.len});
+    p->loading_document = p->newest_document;
+    p->newest_document = (struct vw_document){0};
+    cg_take_begin(&p->loading, p->cfg.documents,
+                  (struct sr_str){p->loading_document.text, p->loading_document.len});
 }
 
 /* Whether a document came into force. */
@@ -39,36 +39,36 @@
 {
     struct cg_catalog c;
     struct er_err err = {0};
-    if (!p->taking.codec && p->next_document.version)
+    if (!p->loading.codec && p->newest_document.version)
         begin_next(p);
-    if (!p->taking.codec)
+    if (!p->loading.codec)
         return false;
-    enum cg_step step = cg_take(&p->taking, READ_A_TICK, &c, &err);
+    enum cg_step step = cg_take(&p->loading, READ_A_TICK, &c, &err);
     if (step == CG_MORE)
         return false;
     if (step == CG_DONE)
         put_in_force(p, &c);
     else
         FL_ERR(&p->log, "document %llu can't be read: %s",
-               (unsigned long long)p->document.version, err.text);
-    free_text(&p->document);
+               (unsigned long long)p->loading_document.version, err.text);
+    free_text(&p->loading_document);
     return step == CG_DONE;
 }
 
 void px_document(struct px_proxy *p, const struct vw_document *d)
 {
-    if (d->version == p->document_seen)
+    if (d->version == p->newest_version)
         return;
-    p->document_seen = d->version;
-    free_text(&p->next_document);
-    p->next_document = (struct vw_document){d->version, sr_alloc(d->len + 1), d->len};
-    sr_move(p->next_document.text, d->text, d->len);
+    p->newest_version = d->version;
+    free_text(&p->newest_document);
+    p->newest_document = (struct vw_document){d->version, sr_alloc(d->len + 1), d->len};
+    sr_move(p->newest_document.text, d->text, d->len);
     go_on(p);
 }
 
 bool px_document_due(const struct px_proxy *p)
 {
-    return p->catalog.version && (p->taking.codec || p->next_document.version);
+    return p->catalog.version && (p->loading.codec || p->newest_document.version);
 }
 
 void px_documents_tick(struct px_proxy *p)
--- a/proxy/groups.c
+++ b/proxy/groups.c
@@ -92,7 +92,7 @@
         }
         if (!in) {
             in = px_inst_new(g, &v->inst[i]);
-            g->p->news = true;
+            g->p->has_changes = true;
         }
         in->cfg = v->inst[i];
         in->at = i;
@@ -192,7 +192,7 @@
         for (int k = 0; k < g->cfg.n; k++)
             px_inst_tick(g->inst[k], now);
     }
-    for (struct px_inst *in = p->gone, *next; in; in = next) {
+    for (struct px_inst *in = p->removed_insts, *next; in; in = next) {
         next = in->next_gone;
         px_inst_tick(in, now);
     }
--- a/proxy/holders.c
+++ b/proxy/holders.c
@@ -110,7 +110,7 @@
         g->held = known && px_configured(p) && (k == 0 || g->first);
         if (held && !g->held)
             g->let_go_at = ck_now();
-        p->news = p->news || (g->held && !held);
+        p->has_changes = p->has_changes || (g->held && !held);
         if (held != g->held || before != g->n_holders)
             FL_EVENT(&p->log, LG_INFO, "holding_changed",
                      "group=%s held=%d holders=%d nodes=%d", g->cfg.name, g->held, g->n_holders,
--- a/proxy/limits.c
+++ b/proxy/limits.c
@@ -32,12 +32,12 @@
 static void throw_away(struct px_proxy *p)
 {
     for (int i = 0; i < p->n_accounts; i++)
-        lm_void(&p->accounts[i].stock);
+        lm_void(&p->accounts[i].permits);
 }
 
 static void end_if_due(struct px_proxy *p, int64_t now)
 {
-    if (now >= p->permits_until)
+    if (now >= p->permits_expire_at)
         throw_away(p);
 }
 
@@ -45,14 +45,14 @@
 {
     int64_t now = ck_now(), until = sent + LM_LIFE_US;
     end_if_due(p, now);
-    if (until > now && until > p->permits_until)
-        p->permits_until = until;
+    if (until > now && until > p->permits_expire_at)
+        p->permits_expire_at = until;
 }
 
 void px_permits_end(struct px_proxy *p)
 {
     throw_away(p);
-    p->permits_until = 0;
+    p->permits_expire_at = 0;
 }
 
 /* ---- operations ---- */
@@ -68,13 +68,13 @@
         return LM_GO;
     end_if_due(s->p, ck_now());
     struct px_account *a = account_of(s->p, s->account);
-    enum lm_verdict v = lm_take(&a->stock, s->route.priority, ck_now());
+    enum lm_verdict v = lm_take(&a->permits, s->route.priority, ck_now());
     if (v == LM_GO) {
         s->permit = PX_PERMIT_TAKEN;
         px_part_done(s, PX_T_PERMIT);
         a->begun++;
     } else if (v == LM_WAIT) {
-        s->p->news = true; /* asked for with a renewal of its own */
+        s->p->has_changes = true; /* asked for with a renewal of its own */
     }
     return v;
 }
@@ -82,14 +82,14 @@
 void px_permit_again(struct px_session *s)
 {
     if (s->permit == PX_PERMIT_TAKEN)
-        lm_extra(&account_of(s->p, s->account)->stock);
+        lm_extra(&account_of(s->p, s->account)->permits);
 }
 
 void px_permit_refuse(struct px_session *s)
 {
     char detail[96];
     struct px_account *a = account_of(s->p, s->account);
-    int64_t ms = lm_retry_us(&a->stock, ck_now()) / 1000;
+    int64_t ms = lm_retry_us(&a->permits, ck_now()) / 1000;
     a->refused++;
     snprintf(detail, sizeof(detail), "the account is over its limit; retry in %lld ms",
              (long long)(ms > LEAST_RETRY_MS ? ms : LEAST_RETRY_MS));
@@ -104,19 +104,19 @@
     end_if_due(p, ck_now());
     r->permits = out;
     r->n_permits = 0;
-    r->all_permits = p->permits_untold;
+    r->all_permits = p->permits_unreported;
     for (int i = 0; i < p->n_accounts; i++) {
         struct px_account *a = &p->accounts[i];
         struct lm_report m;
         if (!has_limit(p, a->name))
             continue;
-        if (p->permits_untold)
-            lm_tell_anew(&a->stock);
-        if (lm_wants(&a->stock, ck_now(), &m))
+        if (p->permits_unreported)
+            lm_tell_anew(&a->permits);
+        if (lm_wants(&a->permits, ck_now(), &m))
             out[r->n_permits++] = (struct wr_permit_ask){
                 sr_from(a->name), (uint32_t)m.held, (uint32_t)m.want, (uint32_t)m.returned};
     }
-    p->permits_untold = false;
+    p->permits_unreported = false;
 }
 
 /* Those that wait for it go on at once. */
@@ -140,7 +140,7 @@
         struct lm_answer a = {(int)permits[i].given, CK_MS((int64_t)permits[i].over_ms)};
         if (!sr_copy(name, sizeof(name), permits[i].account) || !name[0])
             continue;
-        lm_answered(&account_of(p, name)->stock, &a, ck_now());
+        lm_answered(&account_of(p, name)->permits, &a, ck_now());
         if (a.given > 0 || a.over_us > 0) /* else they ask anew in a while */
             wake(p, name);
     }
@@ -148,5 +148,5 @@
 
 void px_permits_tell(struct px_proxy *p)
 {
-    p->permits_untold = true;
+    p->permits_unreported = true;
 }
--- a/proxy/outcome.c
+++ b/proxy/outcome.c
@@ -209,7 +209,7 @@
 void px_lost(struct px_session *s, struct px_conn *c, bool sent)
 {
     struct px_inst *in = c->inst;
-    s->p->c.lost += sent;
+    s->p->c.lost_conns += sent;
     if (px_in_txn(s) && s->txn_begun) {
         txn_lost(s, sent);
         return;
--- a/proxy/pool.c
+++ b/proxy/pool.c
@@ -61,7 +61,7 @@
     if (now - in->lacked_at < LACKS_EVERY_US)
         return;
     in->lacked_at = now;
-    in->p->news = true; /* with a renewal of its own */
+    in->p->has_changes = true; /* with a renewal of its own */
 }
 
 static struct px_conn *idle_conn(const struct px_inst *in, const struct px_session *s)
@@ -235,7 +235,7 @@
     if (!c || closing(in) > opening(in))
         return; /* the last one that was closed is not used yet */
     in->replaced++;
-    in->p->c.replaced++;
+    in->p->c.replaced_conns++;
     px_conn_close(c);
 }
 
@@ -462,8 +462,8 @@
 void px_inst_gone(struct px_inst *in)
 {
     in->gone = true;
-    in->next_gone = in->p->gone;
-    in->p->gone = in;
+    in->next_gone = in->p->removed_insts;
+    in->p->removed_insts = in;
     while (in->waiters) {
         struct px_session *s = in->waiters;
         px_inst_unwait(in, s);
@@ -475,7 +475,7 @@
 
 void px_inst_maybe_free(struct px_inst *in)
 {
-    struct px_inst **at = &in->p->gone;
+    struct px_inst **at = &in->p->removed_insts;
     if (!in->gone || in->n_conns > 0)
         return;
     while (*at && *at != in)
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -158,7 +158,7 @@
 /* A client account at this node. */
 struct px_account {
     char name[AC_NAME];
-    struct lm_stock stock;
+    struct lm_stock permits;
     uint64_t begun, refused; /* operations; refused for the limit */
 };
 
@@ -267,16 +267,17 @@
     uint64_t behind;  /* an instance lacked a read's position */
     uint64_t retries; /* another try of a statement */
     uint64_t parked;
-    uint64_t lost;           /* connections, with a statement on them */
-    uint64_t opened;         /* connections to instances */
-    uint64_t replaced;       /* of these, closed for another account's */
-    uint64_t unknown_keys;   /* operations and sessions refused for their key */
-    uint64_t relayed;        /* sessions that another node serves */
-    uint64_t by_others;      /* of these, by way of a node that is no holder */
-    uint64_t passed_on;      /* sessions that came relayed and went on to a holder */
-    uint64_t trials;         /* of nodes that were doubted or silent */
-    uint64_t silent_told;    /* questions whose node was silent, answered here */
-    uint64_t passed, served; /* statements passed to other nodes; served for others */
+    uint64_t lost_conns;        /* connections, with a statement on them */
+    uint64_t opened_conns;      /* connections to instances */
+    uint64_t replaced_conns;    /* of these, closed for another account's */
+    uint64_t unknown_keys;      /* operations and sessions refused for their key */
+    uint64_t relayed;           /* sessions that another node serves */
+    uint64_t relayed_by_others; /* of these, by way of a node that is no holder */
+    uint64_t passed_on;         /* sessions that came relayed and went on to a holder */
+    uint64_t trials;            /* of nodes that were doubted or silent */
+    uint64_t silent_told;       /* questions whose node was silent, answered here */
+    uint64_t statements_relayed,
+        statements_served; /* statements passed to other nodes; served for others */
     uint64_t ends[PX_END_REASONS],
         cut; /* sessions that were closed here; with a question open */
     uint64_t
@@ -293,10 +294,10 @@
 
     /* what is in force */
     struct cg_catalog catalog;
-    struct cg_taking taking;          /* of `document` */
-    struct vw_document document;      /* is being taken in */
-    struct vw_document next_document; /* the newest, if another is being taken in */
-    uint64_t document_seen;           /* version of the newest */
+    struct cg_taking loading;            /* of `document` */
+    struct vw_document loading_document; /* is being taken in */
+    struct vw_document newest_document;  /* the newest, if another is being taken in */
+    uint64_t newest_version;             /* version of the newest */
     int n_groups;
     struct px_group **groups; /* sorted by name */
     int n_nodes;
@@ -305,15 +306,15 @@
     int64_t configured_at; /* the first document came */
     bool knew_nodes;       /* px_knows_nodes, when groups were looked at last */
     struct px_neighbor *neighbors;
-    struct px_inst *gone; /* not in the view, with connections still */
+    struct px_inst *removed_insts; /* not in the view, with connections still */
     int n_accounts;
     struct px_account *accounts; /* that had operations here */
     struct ix_index account_at;  /* numbers in `accounts` */
-    int64_t permits_until;       /* they end */
-    bool permits_untold;         /* the leader does not know what there is */
-    bool news;                   /* instances came, or groups to hold, since px_has_news */
+    int64_t permits_expire_at;   /* they end */
+    bool permits_unreported;     /* the leader does not know what there is */
+    bool has_changes;            /* instances came, or groups to hold, since px_has_news */
     int64_t leased_at;           /* when the lease was live last */
-    int64_t sought_at;           /* a session looked for a node that passes it on */
+    int64_t last_seek_at;        /* a session looked for a node that passes it on */
     int64_t isolated_until;      /* cut off, and no other node answers: none is asked before */
 
     /* sessions */
@@ -335,7 +336,7 @@
     struct nt_traffic served_traffic; /* with nodes whose sessions are served here */
     struct hi_hist latency_read, latency_write;
     struct px_stages stages;
-    int64_t stages_told_at; /* in the log */
+    int64_t stages_logged_at; /* in the log */
 };
 
 /* Count the bytes of a connection to an instance or node in that failure domain. */
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -22,7 +22,7 @@
     p->loop = l;
     p->cfg = *cfg;
     p->rng = rn_seed(cfg->seed);
-    p->permits_untold = true;
+    p->permits_unreported = true;
     if (!px_listen(p, err)) {
         free(p);
         return NULL;
@@ -99,9 +99,9 @@
 
 bool px_has_news(struct px_proxy *p)
 {
-    bool news = p->news;
-    p->news = false;
-    return news;
+    bool changes = p->has_changes;
+    p->has_changes = false;
+    return changes;
 }
 
 void px_share(struct px_proxy *p, struct sr_str id, int connections)
@@ -139,9 +139,9 @@
 static void tell_stages(struct px_proxy *p, int64_t now)
 {
     struct sr_buf b = {0};
-    if (now - p->stages_told_at < STAGES_EVERY_US)
+    if (now - p->stages_logged_at < STAGES_EVERY_US)
         return;
-    p->stages_told_at = now;
+    p->stages_logged_at = now;
     if (px_stages_report(&p->stages, &b))
         FL_EVENT(&p->log, LG_INFO, "stages", "%.*s", (int)b.len, b.p);
     sr_buf_free(&b);
@@ -242,8 +242,8 @@
         const char *peer;
         uint64_t n;
     } rows[] = {{"instance", p->stages.part[PX_T_SETUP].count},
-                {"node", p->c.passed},
-                {"asker", p->c.served}};
+                {"node", p->c.statements_relayed},
+                {"asker", p->c.statements_served}};
     for (size_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++)
         sr_buf_printf(out, "ferry_session_peer_statements_total{peer=\"%s\"} %llu\n",
                       rows[i].peer, (unsigned long long)rows[i].n);
@@ -312,16 +312,16 @@
     struct px_account rest = {0};
     for (int i = 0; i < p->n_accounts; i++) {
         if (i < PX_ACCOUNTS_TOLD) {
-            put_account(out, a[i]->name, a[i]->begun, a[i]->refused, a[i]->stock.held);
+            put_account(out, a[i]->name, a[i]->begun, a[i]->refused, a[i]->permits.held);
             put_limit(out, ac_by_name(&p->catalog.accounts, a[i]->name));
         } else {
             rest.begun += a[i]->begun;
             rest.refused += a[i]->refused;
-            rest.stock.held += a[i]->stock.held;
+            rest.permits.held += a[i]->permits.held;
         }
     }
     if (p->n_accounts > PX_ACCOUNTS_TOLD)
-        put_account(out, "-", rest.begun, rest.refused, rest.stock.held);
+        put_account(out, "-", rest.begun, rest.refused, rest.permits.held);
     free(a);
 }
 
@@ -379,12 +379,12 @@
                 {"behind_total", p->c.behind},
                 {"retries_total", p->c.retries},
                 {"parked_total", p->c.parked},
-                {"lost_connections_total", p->c.lost},
-                {"opened_connections_total", p->c.opened},
-                {"replaced_connections_total", p->c.replaced},
+                {"lost_connections_total", p->c.lost_conns},
+                {"opened_connections_total", p->c.opened_conns},
+                {"replaced_connections_total", p->c.replaced_conns},
                 {"unknown_keys_total", p->c.unknown_keys},
                 {"relayed_total", p->c.relayed},
-                {"relayed_by_others_total", p->c.by_others},
+                {"relayed_by_others_total", p->c.relayed_by_others},
                 {"passed_on_total", p->c.passed_on},
                 {"neighbors_silent", (uint64_t)px_neighbors_silent(p)},
                 {"neighbor_trials_total", p->c.trials},
--- a/proxy/relay.c
+++ b/proxy/relay.c
@@ -257,7 +257,7 @@
     r->rests = m.txn == PX_IDLE;
     if (r->asked && r->greeted) {
         px_stage(&r->s->p->stages, PX_T_RELAY, ck_now() - r->asked_at);
-        r->s->p->c.passed++;
+        r->s->p->c.statements_relayed++;
     }
     r->asked = false;
     px_question_answered(&r->q, m.txn);
@@ -270,7 +270,7 @@
     struct px_proxy *p = r->s->p;
     r->greeted = true;
     p->c.relayed++;
-    p->c.by_others += r->by_other;
+    p->c.relayed_by_others += r->by_other;
     p->c.passed_on += r->s->relayed_to_us;
     if (r->by_other)
         r->nb->passed_at = ck_now();
--- a/proxy/statement.c
+++ b/proxy/statement.c
@@ -154,7 +154,7 @@
 void px_statement(struct px_session *s, const struct px_msg *m)
 {
     keep(s, m);
-    s->p->c.served += s->relayed_to_us;
+    s->p->c.statements_served += s->relayed_to_us;
     s->p->cfg.codec->parse_text(s->text, &s->stmt);
     s->offers = 0;
     switch (s->stmt.verb) {
--- a/proxy/targets.c
+++ b/proxy/targets.c
@@ -132,9 +132,9 @@
 {
     if (seeks || px_any_passes_on(p, now))
         return true;
-    if (now - p->sought_at < SEEK_EVERY_US)
+    if (now - p->last_seek_at < SEEK_EVERY_US)
         return false;
-    p->sought_at = now;
+    p->last_seek_at = now;
     return true;
 }
 
