--- a/proxy/answer.c
+++ b/proxy/answer.c
@@ -98,7 +98,7 @@
     put_ready(s, &b, c->has_pos, c->pos);
     send_all(s, &b);
     s->idle_since = ck_now();
-    px_session_go_on(s);
+    px_session_resume(s);
 }
 
 static void tell_failure(struct px_session *s, enum er_kind kind, const char *detail)
@@ -115,7 +115,7 @@
     px_end_work(s);
     tell_failure(s, kind, detail);
     s->idle_since = ck_now();
-    px_session_go_on(s);
+    px_session_resume(s);
 }
 
 void px_refuse_relayed(struct px_session *s, enum er_kind kind, const char *detail)
@@ -123,7 +123,7 @@
     tell_failure(s, kind, detail);
 }
 
-void px_answer_own(struct px_session *s)
+void px_answer_local(struct px_session *s)
 {
     struct sr_buf b = {0};
     struct px_msg done = {.kind = PX_DONE};
@@ -140,7 +140,7 @@
     send_all(s, &b);
 }
 
-void px_fail_cut_off(struct px_session *s)
+void px_fail_disconnected(struct px_session *s)
 {
     px_fail_and_close(s, ER_NO_LEASE, "this node is cut off; another may serve it, at once");
 }
@@ -172,7 +172,7 @@
 static void note_end(struct px_session *s, enum px_end_reason why)
 {
     struct px_proxy *p = s->p;
-    bool cut = why != PX_END_BY_CALLER && (s->stage != PX_S_IDLE || px_asked_elsewhere(s));
+    bool cut = why != PX_END_BY_CALLER && (s->stage != PX_S_IDLE || px_relay_pending(s));
     s->ended = true;
     s->end_reason = why;
     p->c.ends[why]++;
@@ -189,7 +189,7 @@
     nt_close(s->net, at_once);
 }
 
-bool px_close_resting(struct px_session *s, enum px_end_reason why)
+bool px_close_idle(struct px_session *s, enum px_end_reason why)
 {
     if (s->ended)
         return true;
--- a/proxy/conn.c
+++ b/proxy/conn.c
@@ -79,7 +79,7 @@
            (unsigned long long)s->last_commit.term, (unsigned long long)s->last_commit.pos,
            s->txn_begun);
     c->phase = PX_C_RUNNING;
-    px_part_done(s, PX_T_SETUP);
+    px_stage_done(s, PX_T_SETUP);
     s->sent_at = c->used_at = ck_now();
     s->offers++;
     bool ok = send_msg(c, &m);
@@ -121,7 +121,7 @@
     s->conn = c;
     s->inst = c->inst;
     s->stage = PX_S_AT_INSTANCE;
-    px_part_done(s, PX_T_WAIT);
+    px_stage_done(s, PX_T_WAIT);
     advance(c);
 }
 
@@ -247,9 +247,9 @@
     else
         px_conn_close(c);
     if (px_in_txn(s) && s->txn_begun)
-        px_lost(s, c, false);
+        px_on_conn_lost(s, c, false);
     else
-        px_not_sent(s, c, why);
+        px_on_not_sent(s, c, why);
 }
 
 static void setup_answered(struct px_conn *c)
@@ -293,8 +293,8 @@
     case PX_C_RUNNING:
         note_time(c);
         note_outcome(c);
-        px_part_done(c->session, PX_T_INSTANCE);
-        px_answered(c->session, c);
+        px_stage_done(c->session, PX_T_INSTANCE);
+        px_on_answer(c->session, c);
         break;
     case PX_C_ENDING:
     case PX_C_ORPHAN:
@@ -445,7 +445,7 @@
         closed_by_instance(c, refused);
     if (s) {
         s->conn = NULL;
-        px_lost(s, c, c->phase == PX_C_RUNNING);
+        px_on_conn_lost(s, c, c->phase == PX_C_RUNNING);
     }
     conn_free(c);
     px_inst_pump(in);
@@ -473,7 +473,7 @@
 
 void px_conn_tick(struct px_conn *c, int64_t now)
 {
-    int64_t silent_us = px_heard(c->inst->p) - c->sent_at;
+    int64_t silent_us = px_received_until(c->inst->p) - c->sent_at;
     if (c->closing)
         return;
     if (c->phase == PX_C_OPENING && silent_us > OPEN_US) {
--- a/proxy/documents.c
+++ b/proxy/documents.c
@@ -55,7 +55,7 @@
     return step == CG_DONE;
 }
 
-void px_document(struct px_proxy *p, const struct vw_document *d)
+void px_load_document(struct px_proxy *p, const struct vw_document *d)
 {
     if (d->version == p->newest_version)
         return;
@@ -66,7 +66,7 @@
     go_on(p);
 }
 
-bool px_document_due(const struct px_proxy *p)
+bool px_document_loading(const struct px_proxy *p)
 {
     return p->catalog.version && (p->loading.codec || p->newest_document.version);
 }
--- a/proxy/groups.c
+++ b/proxy/groups.c
@@ -146,7 +146,7 @@
 void px_view(struct px_proxy *p, const struct vw_view *v)
 {
     struct px_group **next = sr_alloc(sizeof(*next) * (size_t)(v->n + 1));
-    px_document(p, &v->doc);
+    px_load_document(p, &v->doc);
     for (int i = 0; i < v->n; i++) {
         struct px_group *g = px_group(p, v->groups[i].name);
         next[i] = g ? g : group_new(p, &v->groups[i]);
@@ -174,7 +174,7 @@
 
 bool px_settled(const struct px_proxy *p)
 {
-    if (px_document_due(p))
+    if (px_document_loading(p))
         return false;
     for (int i = 0; i < p->n_groups; i++) {
         if (p->groups[i]->settle_by)
@@ -187,7 +187,7 @@
 {
     for (int i = 0; i < p->n_groups; i++) {
         struct px_group *g = p->groups[i];
-        if (g->settle_by && (px_heard(p) > g->settle_by || !at_primary(g)))
+        if (g->settle_by && (px_received_until(p) > g->settle_by || !at_primary(g)))
             g->settle_by = 0;
         for (int k = 0; k < g->cfg.n; k++)
             px_inst_tick(g->inst[k], now);
--- a/proxy/limits.c
+++ b/proxy/limits.c
@@ -71,7 +71,7 @@
     enum lm_verdict v = lm_take(&a->permits, s->route.priority, ck_now());
     if (v == LM_GO) {
         s->permit = PX_PERMIT_TAKEN;
-        px_part_done(s, PX_T_PERMIT);
+        px_stage_done(s, PX_T_PERMIT);
         a->begun++;
     } else if (v == LM_WAIT) {
         s->p->has_changes = true; /* asked for with a renewal of its own */
@@ -79,13 +79,13 @@
     return v;
 }
 
-void px_permit_again(struct px_session *s)
+void px_permit_charge_retry(struct px_session *s)
 {
     if (s->permit == PX_PERMIT_TAKEN)
         lm_extra(&account_of(s->p, s->account)->permits);
 }
 
-void px_permit_refuse(struct px_session *s)
+void px_refuse_over_limit(struct px_session *s)
 {
     char detail[96];
     struct px_account *a = account_of(s->p, s->account);
--- a/proxy/neighbors.c
+++ b/proxy/neighbors.c
@@ -122,7 +122,7 @@
     (void)net;
     (void)refused;
     nb->trial = NULL;
-    trial_over(nb, opened && !nb_trial_late(&nb->b, px_heard(nb->p)));
+    trial_over(nb, opened && !nb_trial_late(&nb->b, px_received_until(nb->p)));
 }
 
 static const struct nt_ops trial_ops = {on_open, on_message, on_close};
@@ -145,7 +145,7 @@
 
 void px_neighbors_tick(struct px_proxy *p, int64_t now)
 {
-    int64_t heard = px_heard(p);
+    int64_t heard = px_received_until(p);
     for (struct px_neighbor *nb = p->neighbors; nb; nb = nb->next) {
         if (nb->trial && nb_trial_late(&nb->b, heard))
             give_up_trial(nb);
--- a/proxy/outcome.c
+++ b/proxy/outcome.c
@@ -58,7 +58,7 @@
     if (!px_needs_primary(s))
         skip(s, c->inst);
     let_go(s, c);
-    return px_try_again(s, after_us, true);
+    return px_retry(s, after_us, true);
 }
 
 /* What the connection has prepared is not what we thought. */
@@ -69,7 +69,7 @@
     s->conn = NULL;
     c->session = NULL;
     px_conn_close(c);
-    return px_try_again(s, 0, true);
+    return px_retry(s, 0, true);
 }
 
 /* The instance said no before it ran anything, or a read failed there: somewhere else. */
@@ -83,7 +83,7 @@
     case ER_BEHIND:
         note_behind(s, c->inst);
         let_go(s, c);
-        return px_try_again(s, 0, false);
+        return px_retry(s, 0, false);
     case ER_BUSY:
         return ask_another(s, c, primary_only ? BUSY_RETRY_US : 0);
     case ER_TERM:
@@ -91,7 +91,7 @@
             return false;
         note_no_primary(c->inst);
         let_go(s, c);
-        return px_try_again(s, PX_PARK_US, false);
+        return px_retry(s, PX_PARK_US, false);
     case ER_NO_STATEMENT:
         return ask_anew(s, c);
     case ER_FAILED:
@@ -146,7 +146,7 @@
     release(c);
 }
 
-void px_answered(struct px_session *s, struct px_conn *c)
+void px_on_answer(struct px_session *s, struct px_conn *c)
 {
     if (px_in_txn(s)) {
         count_read(s, c);
@@ -169,7 +169,7 @@
 
 /* ---- what goes wrong on the way ---- */
 
-void px_not_sent(struct px_session *s, struct px_conn *c, enum er_kind why)
+void px_on_not_sent(struct px_session *s, struct px_conn *c, enum er_kind why)
 {
     struct px_inst *in = c->inst;
     if (why == ER_BEHIND)
@@ -179,7 +179,7 @@
     else if (!px_needs_primary(s))
         skip(s, in);
     bool counts = why != ER_BEHIND && why != ER_TERM;
-    if (!px_try_again(s, why == ER_BEHIND ? 0 : PX_PARK_US, counts))
+    if (!px_retry(s, why == ER_BEHIND ? 0 : PX_PARK_US, counts))
         px_refuse(s, ER_OVERLOAD, "instances refused what it needs first; retry in 100 ms");
 }
 
@@ -206,7 +206,7 @@
                        : "the connection was lost; nothing of the transaction is kept");
 }
 
-void px_lost(struct px_session *s, struct px_conn *c, bool sent)
+void px_on_conn_lost(struct px_session *s, struct px_conn *c, bool sent)
 {
     struct px_inst *in = c->inst;
     s->p->c.lost_conns += sent;
@@ -217,14 +217,14 @@
     if (!px_needs_primary(s))
         skip(s, in);
     if (!sent) {
-        px_try_again(s, 0, false);
+        px_retry(s, 0, false);
         return;
     }
     if (s->writes) {
         px_refuse(s, ER_LOST, "the connection was lost with the write on its way");
         return;
     }
-    if (!px_try_again(s, 0, true))
+    if (!px_retry(s, 0, true))
         px_refuse(s, ER_OVERLOAD, "no instance answered the read; retry in 100 ms");
 }
 
--- a/proxy/pool.c
+++ b/proxy/pool.c
@@ -151,7 +151,7 @@
  * hold up the others. */
 int px_inst_running(const struct px_inst *in)
 {
-    int64_t since = px_heard(in->p) - in->service_us * LOST_TIMES;
+    int64_t since = px_received_until(in->p) - in->service_us * LOST_TIMES;
     int k = 0;
     for (const struct px_conn *c = in->conns; c; c = c->next) {
         bool out = c->phase == PX_C_SETUP || c->phase == PX_C_RUNNING;
@@ -320,7 +320,7 @@
  * instance that is gone. A new connection tells. */
 static bool quiet(const struct px_inst *in)
 {
-    int64_t heard = px_heard(in->p);
+    int64_t heard = px_received_until(in->p);
     for (const struct px_conn *c = in->conns; c; c = c->next) {
         bool out = c->phase != PX_C_IDLE && c->phase != PX_C_RESTING;
         if (out && heard - c->sent_at > QUIET_US && in->heard < c->sent_at)
@@ -332,7 +332,7 @@
 /* A connection is not greeted: nobody is there, or can be reached. */
 static bool silent(const struct px_inst *in)
 {
-    int64_t heard = px_heard(in->p);
+    int64_t heard = px_received_until(in->p);
     for (const struct px_conn *c = in->conns; c; c = c->next) {
         bool late = c->phase == PX_C_OPENING && heard - c->sent_at > SILENT_US;
         if (late && in->heard < c->sent_at)
@@ -367,7 +367,7 @@
 /* It has failed alone for so long that others, if they fail as well, would have shown it. */
 static bool outlived_doubt(const struct px_inst *in)
 {
-    return in->alone_since && px_heard(in->p) - in->alone_since > ALONE_US;
+    return in->alone_since && px_received_until(in->p) - in->alone_since > ALONE_US;
 }
 
 static bool is_behind(const struct px_inst *in, int64_t heard)
@@ -382,7 +382,7 @@
         if (i == g->cfg.primary || g->cfg.inst[i].draining)
             continue;
         v.replicas++;
-        v.behind += is_behind(g->inst[i], px_heard(g->p));
+        v.behind += is_behind(g->inst[i], px_received_until(g->p));
     }
     return v;
 }
@@ -391,7 +391,7 @@
 static bool needs_relief(struct px_inst *in)
 {
     struct px_relief_view v = relief_view(in->group);
-    return px_relief_due(&in->group->relief, &v, px_heard(in->p));
+    return px_relief_due(&in->group->relief, &v, px_received_until(in->p));
 }
 
 static bool serves_alone(const struct px_inst *in)
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -348,13 +348,13 @@
  * with what the caller sent meanwhile. */
 void px_answer(struct px_session *s, const struct px_conn *from);
 /* The proxy itself carried the statement out: it ran nowhere. */
-void px_answer_own(struct px_session *s);
+void px_answer_local(struct px_session *s);
 /* The statement, at work or not, ends with this failure; go on as after px_answer. */
 void px_refuse(struct px_session *s, enum er_kind kind, const char *detail);
 /* What was asked of a relayed session ran nowhere. */
 void px_refuse_relayed(struct px_session *s, enum er_kind kind, const char *detail);
 /* Instead of a greeting: this node is cut off, and so are those that it reaches. */
-void px_fail_cut_off(struct px_session *s);
+void px_fail_disconnected(struct px_session *s);
 /* Close the caller's connection, at once or after what is queued, and note why: a caller whose
  * question is open does not learn whether it ran. */
 void px_close(struct px_session *s, enum px_end_reason why, bool at_once);
@@ -363,12 +363,12 @@
 void px_note_dropped(struct px_session *s, size_t bytes);
 /* Close the connection of a session at rest. False, and it stays open: its caller has said
  * something that is not read yet, or is still being told something, which comes first. */
-bool px_close_resting(struct px_session *s, enum px_end_reason why);
+bool px_close_idle(struct px_session *s, enum px_end_reason why);
 /* The same for a session at rest that another node may relay to us: that node is told, and what
  * still comes is not run. Whoever ends a session asks again until its connection is closed. */
-void px_end_resting(struct px_session *s, enum px_end_reason why);
+void px_end_idle(struct px_session *s, enum px_end_reason why);
 /* When in a span it is this session's turn: they don't all come back at once. */
-int64_t px_turn(const struct px_session *s, int64_t span_us);
+int64_t px_stagger_us(const struct px_session *s, int64_t span_us);
 /* A failure that ends the session. */
 void px_fail_and_close(struct px_session *s, enum er_kind kind, const char *detail);
 
@@ -391,31 +391,31 @@
 /* Take the operation's permit if it is due. */
 enum lm_verdict px_permit_take(struct px_session *s);
 /* A statement of the operation is sent once more, and may have run before: it counts again. */
-void px_permit_again(struct px_session *s);
+void px_permit_charge_retry(struct px_session *s);
 /* The operation is over the limit: how it is refused. */
-void px_permit_refuse(struct px_session *s);
+void px_refuse_over_limit(struct px_session *s);
 
 /* session.c: the caller's connection */
 bool px_listen(struct px_proxy *p, struct er_err *err);
 /* Work through what the caller sent while its last statement was at work. */
-void px_session_go_on(struct px_session *s);
+void px_session_resume(struct px_session *s);
 /* Look at all sessions: whose time to open, to rest or to stay is over. */
 void px_sessions_slow_tick(struct px_proxy *p, int64_t now);
 
 /* proxy.c: what was heard */
 /* What peers had said by this time was taken in. A verdict that one of them is silent, or that
  * something has not come, compares with it: after a long step more waits in the sockets. */
-int64_t px_heard(const struct px_proxy *p);
+int64_t px_received_until(const struct px_proxy *p);
 
 /* proxy.c: the lease */
 /* A lease outlives an election; who has none for longer is on its own. */
-enum { PX_CUT_OFF_US = 300000 };
+enum { PX_DISCONNECTED_US = 300000 };
 
 /* Whether no term of the view was replaced. */
 bool px_leased(const struct px_proxy *p);
 /* Without a lease for so long that this node is probably cut off from control, and others are
  * not. */
-bool px_cut_off(const struct px_proxy *p);
+bool px_disconnected(const struct px_proxy *p);
 
 /* relay.c: sessions that another node serves */
 /* Whether another node holds the session's group, or probably has connections to it while this
@@ -423,13 +423,13 @@
 bool px_should_relay(const struct px_session *s);
 void px_relay_start(struct px_session *s);
 /* What the caller of a relayed session says. */
-void px_relay_bytes(struct px_session *s, const char *data, size_t len);
+void px_relay_input(struct px_session *s, const char *data, size_t len);
 /* The caller has gone; nothing happens if the session is not relayed. */
-void px_relay_end(struct px_session *s);
+void px_relay_stop(struct px_session *s);
 void px_relay_tick(struct px_session *s, int64_t now);
 /* Whether another node opens this session for a caller of its own; *document: the version that
  * it acts on; *pass_on: it reaches no holder of the group. */
-bool px_is_relayed(const struct px_msg *open, uint64_t *document, bool *pass_on);
+bool px_parse_relayed(const struct px_msg *open, uint64_t *document, bool *pass_on);
 /* Why a session is opened at another node. */
 enum px_hello {
     PX_HELLO_TRIAL,  /* to see whether it greets, whatever it acts on */
@@ -439,14 +439,14 @@
 void px_relay_hello(struct px_proxy *p, struct nt_conn *net, const char *database,
                     const char *key, enum px_hello why);
 /* Whether a question of the relayed session's went to the other node and has no answer yet. */
-bool px_asked_elsewhere(const struct px_session *s);
+bool px_relay_pending(const struct px_session *s);
 /* Whether a relayed session has neither a statement nor a transaction at the other node. */
-bool px_rests_elsewhere(const struct px_session *s);
+bool px_relay_idle(const struct px_session *s);
 
 /* targets.c: where sessions are relayed to */
 enum { PX_MAX_TRIES = 16 }; /* nodes that are asked for one session */
 
-struct px_tries {
+struct px_tried_nodes {
     int n;
     struct px_neighbor *nb[PX_MAX_TRIES];
 };
@@ -455,9 +455,9 @@
     bool passes_on; /* it holds nothing itself */
 };
 /* The group of the session's database: a relayed session takes no route here. */
-struct px_group *px_wanted_group(const struct px_session *s);
+struct px_group *px_database_group(const struct px_session *s);
 /* `seeks`: the session is at a look for a node that passes it on. */
-struct px_target px_next_target(const struct px_session *s, const struct px_tries *t,
+struct px_target px_next_target(const struct px_session *s, const struct px_tried_nodes *t,
                                 bool seeks, int64_t now);
 
 /* neighbors.c: what is believed of the other nodes, and trials of them */
@@ -512,11 +512,11 @@
 /* The statement is over, or its session is; nothing is told. */
 void px_end_work(struct px_session *s);
 /* The statement's present stage is over, and is counted as that part. */
-void px_part_done(struct px_session *s, enum px_part part);
+void px_stage_done(struct px_session *s, enum px_part part);
 /* Look at it again at that time, or in the first tick after. */
 void px_park(struct px_session *s, int64_t until);
 /* Another try, at once or later. False: it counts, and there were as many as are allowed. */
-bool px_try_again(struct px_session *s, int64_t after_us, bool counts);
+bool px_retry(struct px_session *s, int64_t after_us, bool counts);
 /* Whether no further try that counts is allowed. */
 bool px_last_try(const struct px_session *s);
 /* Every tick: whether it waits too long where it is. */
@@ -524,11 +524,11 @@
 
 /* outcome.c: what comes of a statement */
 /* The connection has the whole answer. */
-void px_answered(struct px_session *s, struct px_conn *c);
+void px_on_answer(struct px_session *s, struct px_conn *c);
 /* Nothing of the statement was sent. */
-void px_not_sent(struct px_session *s, struct px_conn *c, enum er_kind why);
+void px_on_not_sent(struct px_session *s, struct px_conn *c, enum er_kind why);
 /* The connection died; `sent`: with the statement on it. */
-void px_lost(struct px_session *s, struct px_conn *c, bool sent);
+void px_on_conn_lost(struct px_session *s, struct px_conn *c, bool sent);
 /* Its time is up. */
 void px_expire(struct px_session *s);
 /* The session's transaction ends here: roll back what is open. */
@@ -574,16 +574,16 @@
 void px_conn_rollback(struct px_conn *c);
 /* Nothing is open on it: serve others. */
 void px_conn_idle(struct px_conn *c);
-/* Its end is reported to the session it works for, by px_lost. */
+/* Its end is reported to the session it works for, by px_on_conn_lost. */
 void px_conn_close(struct px_conn *c);
 void px_conn_tick(struct px_conn *c, int64_t now);
 
 /* documents.c: the document that is in force */
 
 /* The view's, which may be the one that is in force. */
-void px_document(struct px_proxy *p, const struct vw_document *d);
+void px_load_document(struct px_proxy *p, const struct vw_document *d);
 /* Whether an older one is acted on while a newer one is being taken in. */
-bool px_document_due(const struct px_proxy *p);
+bool px_document_loading(const struct px_proxy *p);
 void px_documents_tick(struct px_proxy *p);
 
 /* groups.c: the view */
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -35,7 +35,7 @@
     return p->catalog.version > 0;
 }
 
-int64_t px_heard(const struct px_proxy *p)
+int64_t px_received_until(const struct px_proxy *p)
 {
     return nt_heard_until(p->loop);
 }
@@ -47,9 +47,10 @@
     return p->cfg.host.leased(p->cfg.host.ud);
 }
 
-bool px_cut_off(const struct px_proxy *p)
+bool px_disconnected(const struct px_proxy *p)
 {
-    return p->leased_at && !px_leased(p) && px_heard(p) - p->leased_at > PX_CUT_OFF_US;
+    return p->leased_at && !px_leased(p) &&
+           px_received_until(p) - p->leased_at > PX_DISCONNECTED_US;
 }
 
 /* ---- shares ---- */
@@ -190,7 +191,7 @@
 static bool any_asked_elsewhere(const struct px_proxy *p)
 {
     for (const struct px_session *s = p->sessions; s; s = s->next) {
-        if (px_asked_elsewhere(s))
+        if (px_relay_pending(s))
             return true;
     }
     return false;
--- a/proxy/relay.c
+++ b/proxy/relay.c
@@ -35,7 +35,7 @@
 struct px_relay {
     struct px_session *s;
     struct nt_conn *net; /* to the other node; NULL: none */
-    struct px_tries tries;
+    struct px_tried_nodes tried;
     struct px_neighbor *nb; /* the last of these */
     bool by_other;          /* it is no holder, and passes the session on */
     bool late;              /* it did not greet in time */
@@ -53,7 +53,7 @@
     int64_t began;        /* this try, and what it waits for: to be open, to be greeted */
 };
 
-bool px_is_relayed(const struct px_msg *open, uint64_t *document, bool *pass_on)
+bool px_parse_relayed(const struct px_msg *open, uint64_t *document, bool *pass_on)
 {
     size_t n = sizeof(relayed_by) - 1;
     *document = 0;
@@ -75,12 +75,12 @@
     return true;
 }
 
-bool px_asked_elsewhere(const struct px_session *s)
+bool px_relay_pending(const struct px_session *s)
 {
     return s->relay && s->relay->asked;
 }
 
-bool px_rests_elsewhere(const struct px_session *s)
+bool px_relay_idle(const struct px_session *s)
 {
     return s->relay && s->relay->greeted && s->relay->rests;
 }
@@ -93,10 +93,10 @@
  * bring each of its tries here again, and has to be closed when the lease is back. */
 bool px_should_relay(const struct px_session *s)
 {
-    struct px_group *g = px_wanted_group(s);
+    struct px_group *g = px_database_group(s);
     if (!g || s->p->n_nodes < 2 || (s->relayed_to_us && (!s->may_pass_on || g->held)))
         return false;
-    if (px_cut_off(s->p))
+    if (px_disconnected(s->p))
         return true;
     if (g->held && px_has_accounts(s->p))
         return !px_serves_account(s, g);
@@ -109,9 +109,9 @@
 
 static void drop_tries(struct px_relay *r)
 {
-    for (int k = 0; k < r->tries.n; k++)
-        px_neighbor_drop(r->tries.nb[k]);
-    r->tries.n = 0;
+    for (int k = 0; k < r->tried.n; k++)
+        px_neighbor_drop(r->tried.nb[k]);
+    r->tried.n = 0;
 }
 
 static void relay_free(struct px_relay *r)
@@ -163,7 +163,7 @@
 static void end_left(struct px_relay *r, int64_t now)
 {
     if (r->q.len == 0 || r->s->relayed_to_us || now - r->left_at > REST_OF_LINE_US)
-        px_end_resting(r->s, r->why);
+        px_end_idle(r->s, r->why);
 }
 
 /* The caller is sent away; what it says before it learns of it is refused. */
@@ -359,8 +359,8 @@
         return;
     if (s->relayed_to_us)
         px_close(s, PX_END_NO_HOLDER, true);
-    else if (px_cut_off(s->p))
-        px_fail_cut_off(s);
+    else if (px_disconnected(s->p))
+        px_fail_disconnected(s);
     else
         px_fail_and_close(s, ER_NO_LEASE,
                           "no node that serves it answers; another may, at once");
@@ -369,7 +369,7 @@
 static bool may_try(const struct px_relay *r, int64_t now)
 {
     const struct px_proxy *p = r->s->p;
-    bool isolated = px_cut_off(p) && now < p->isolated_until;
+    bool isolated = px_disconnected(p) && now < p->isolated_until;
     return !isolated && now - r->s->idle_since < TRY_FOR_US;
 }
 
@@ -380,14 +380,14 @@
     int64_t now = ck_now();
     struct px_target to = {-1, false};
     if (s->net && may_try(r, now))
-        to = px_next_target(s, &r->tries, r->by_other, now);
+        to = px_next_target(s, &r->tried, r->by_other, now);
     if (to.node < 0) {
         give_up(r);
         return;
     }
     const struct ho_node *node = &p->nodes[to.node];
     r->nb = px_neighbor_take(p, node);
-    r->tries.nb[r->tries.n++] = r->nb;
+    r->tried.nb[r->tried.n++] = r->nb;
     r->by_other = to.passes_on;
     r->late = false;
     sr_copy(r->nb->database, sizeof(r->nb->database), sr_from(s->database));
@@ -430,7 +430,7 @@
     end_left(r, ck_now());
 }
 
-void px_relay_bytes(struct px_session *s, const char *data, size_t len)
+void px_relay_input(struct px_session *s, const char *data, size_t len)
 {
     struct px_relay *r = s->relay;
     if (r->left) {
@@ -452,7 +452,7 @@
     send_there(r, data, len);
 }
 
-void px_relay_end(struct px_session *s)
+void px_relay_stop(struct px_session *s)
 {
     struct px_relay *r = s->relay;
     if (!r)
@@ -484,9 +484,10 @@
 {
     struct px_session *s = r->s;
     if (r->asked) {
-        if (px_question_harmless(&r->q) || px_heard(s->p) - r->asked_at > longest_wait(s))
+        if (px_question_harmless(&r->q) ||
+            px_received_until(s->p) - r->asked_at > longest_wait(s))
             tell_unanswered(r, true, PX_END_HOLDER_SILENT);
-    } else if (r->rests && now - r->nb->b.silent_at > px_turn(s, MOVE_OVER_US)) {
+    } else if (r->rests && now - r->nb->b.silent_at > px_stagger_us(s, MOVE_OVER_US)) {
         leave(r, PX_END_HOLDER_SILENT);
     }
 }
@@ -496,7 +497,7 @@
     if (r->left || !r->s->net)
         return;
     if (r->asked)
-        nb_waits(&r->nb->b, r->asked_at, px_heard(r->s->p));
+        nb_waits(&r->nb->b, r->asked_at, px_received_until(r->s->p));
     if (r->nb->b.state == NB_SILENT)
         leave_silent(r, now);
 }
@@ -504,7 +505,7 @@
 static void greeting_late(struct px_relay *r, int64_t now)
 {
     struct px_proxy *p = r->s->p;
-    if (px_cut_off(p) && !px_any_passes_on(p, now))
+    if (px_disconnected(p) && !px_any_passes_on(p, now))
         p->isolated_until = now + ISOLATED_US;
     r->late = true;
     nt_close(r->net, true);
@@ -513,8 +514,8 @@
 void px_relay_tick(struct px_session *s, int64_t now)
 {
     struct px_relay *r = s->relay;
-    if (r && r->greeted && s->net && px_rests_elsewhere(s) && !r->asked && key_is_gone(s)) {
-        px_end_resting(s, PX_END_REFUSED);
+    if (r && r->greeted && s->net && px_relay_idle(s) && !r->asked && key_is_gone(s)) {
+        px_end_idle(s, PX_END_REFUSED);
         return;
     }
     if (r && r->left && s->net && !s->end_sent_at)
@@ -525,7 +526,7 @@
         watch(r, now);
         return;
     }
-    int64_t heard = px_heard(s->p);
+    int64_t heard = px_received_until(s->p);
     if (!r->by_other)
         nb_waits(&r->nb->b, r->began, heard);
     if (heard - r->began > GREET_US || r->nb->b.state == NB_SILENT)
--- a/proxy/session.c
+++ b/proxy/session.c
@@ -51,7 +51,7 @@
         px_fail_and_close(s, ER_BAD_INPUT, "the name of a database is expected");
         return;
     }
-    s->relayed_to_us = px_is_relayed(m, &s->min_document, &s->may_pass_on);
+    s->relayed_to_us = px_parse_relayed(m, &s->min_document, &s->may_pass_on);
     if (s->relayed_to_us)
         nt_meter(s->net, &s->p->served_traffic);
     /* One that is too long is nobody's. */
@@ -59,7 +59,7 @@
         s->key[0] = 0;
     /* Closed before a greeting, so that another holder is asked. A node that is cut off from
      * control is listed for three seconds more and would refuse whatever it is asked. */
-    if (s->relayed_to_us && (s->p->stopping || px_cut_off(s->p))) {
+    if (s->relayed_to_us && (s->p->stopping || px_disconnected(s->p))) {
         px_close(s, PX_END_NOT_ACCEPTED, true);
         return;
     }
@@ -82,7 +82,7 @@
 
 static void leave_if_due(struct px_session *s, int64_t now);
 
-void px_session_go_on(struct px_session *s)
+void px_session_resume(struct px_session *s)
 {
     struct px_msg m;
     size_t at = 0;
@@ -119,11 +119,11 @@
     if (s->end_sent_at)
         return; /* said not to be run */
     if (s->relay) {
-        px_relay_bytes(s, data, len);
+        px_relay_input(s, data, len);
         return;
     }
     sr_buf_add(&s->in, data, len);
-    px_session_go_on(s);
+    px_session_resume(s);
 }
 
 static void on_close(struct nt_conn *net, void *ud, bool opened, bool refused)
@@ -135,7 +135,7 @@
     if (s->ended && s->end_reason != PX_END_BY_CALLER && nt_dropped(net) > 0)
         px_note_dropped(s, nt_dropped(net));
     s->net = NULL;
-    px_relay_end(s);
+    px_relay_stop(s);
     px_end_work(s);
     px_drop_txn(s);
     if (s->prev)
@@ -192,8 +192,8 @@
         return;
     try_open(s);
     if (s->opened)
-        px_session_go_on(s);
-    else if (!s->relay && px_heard(s->p) - s->idle_since > UNANSWERED_OPEN_US)
+        px_session_resume(s);
+    else if (!s->relay && px_received_until(s->p) - s->idle_since > UNANSWERED_OPEN_US)
         px_fail_and_close(s, ER_NO_LEASE, "no configuration has come yet; retry in 500 ms");
 }
 
@@ -202,7 +202,7 @@
 {
     int64_t bound = s->p->catalog.txn_idle_us;
     bool rests = s->txn != PX_IDLE && s->stage == PX_S_IDLE;
-    if (!rests || !bound || px_heard(s->p) - s->idle_since < bound)
+    if (!rests || !bound || px_received_until(s->p) - s->idle_since < bound)
         return;
     if (s->conn)
         px_abort_txn(s);
@@ -213,18 +213,18 @@
     if (s->end_sent_at || s->ended)
         return false;
     if (s->relay)
-        return px_rests_elsewhere(s);
+        return px_relay_idle(s);
     return s->opened && s->stage == PX_S_IDLE && s->txn == PX_IDLE && s->in.len == 0;
 }
 
 /* What a caller sends after the close met it on its way. A question that another node passed on
  * would be lost, so that node is told first, and what still comes is not run. */
-void px_end_resting(struct px_session *s, enum px_end_reason why)
+void px_end_idle(struct px_session *s, enum px_end_reason why)
 {
     struct sr_buf b = {0};
     struct px_msg m = {.kind = PX_END};
     if (!s->relayed_to_us) {
-        px_close_resting(s, why);
+        px_close_idle(s, why);
         return;
     }
     s->end_sent_at = ck_now();
@@ -239,7 +239,7 @@
         px_close(s, PX_END_TIMEOUT, true);
 }
 
-int64_t px_turn(const struct px_session *s, int64_t span_us)
+int64_t px_stagger_us(const struct px_session *s, int64_t span_us)
 {
     return (int64_t)(s->state.session * 0x9E3779B97F4A7C15ull % (uint64_t)(span_us + 1));
 }
@@ -248,12 +248,12 @@
 static void cut_off_tick(struct px_session *s)
 {
     const struct px_proxy *p = s->p;
-    int64_t since = p->leased_at + PX_CUT_OFF_US;
+    int64_t since = p->leased_at + PX_DISCONNECTED_US;
     /* Once: where all nodes are cut off it would only come back to be closed again. */
-    if (s->relay || !px_cut_off(p) || !rests(s) || s->opened_at > p->leased_at)
+    if (s->relay || !px_disconnected(p) || !rests(s) || s->opened_at > p->leased_at)
         return;
-    if (px_heard(p) - since > px_turn(s, CUT_OFF_CLOSE_OVER_US))
-        px_end_resting(s, PX_END_MOVED);
+    if (px_received_until(p) - since > px_stagger_us(s, CUT_OFF_CLOSE_OVER_US))
+        px_end_idle(s, PX_END_MOVED);
 }
 
 /* Another node holds the group now: the session's next life is there. */
@@ -264,8 +264,8 @@
         return;
     if (s->p->stopping && !s->relayed_to_us)
         return; /* the balancer would send its caller here again: stop_tick */
-    if (now - g->let_go_at > px_turn(s, CUT_OFF_CLOSE_OVER_US))
-        px_end_resting(s, PX_END_MOVED);
+    if (now - g->let_go_at > px_stagger_us(s, CUT_OFF_CLOSE_OVER_US))
+        px_end_idle(s, PX_END_MOVED);
 }
 
 static void stop_tick(struct px_session *s, int64_t now)
@@ -275,14 +275,14 @@
         return;
     bool late = now - p->stop_began > p->cfg.grace_us * STOP_LEAVE_PERCENT / 100;
     if (late && s->relayed_to_us && s->stage == PX_S_IDLE && s->in.len == 0 &&
-        !px_asked_elsewhere(s))
-        px_end_resting(s, PX_END_MOVED);
+        !px_relay_pending(s))
+        px_end_idle(s, PX_END_MOVED);
     if (!rests(s))
         return;
     int64_t from = p->cfg.grace_us * STOP_CLOSE_FROM_PERCENT / 100;
-    int64_t mine = px_turn(s, p->cfg.grace_us * STOP_CLOSE_OVER_PERCENT / 100);
+    int64_t mine = px_stagger_us(s, p->cfg.grace_us * STOP_CLOSE_OVER_PERCENT / 100);
     if (now - p->stop_began > from + mine)
-        px_end_resting(s, PX_END_MOVED);
+        px_end_idle(s, PX_END_MOVED);
 }
 
 /* Its place is elsewhere: here, or this node, ends. */
--- a/proxy/statement.c
+++ b/proxy/statement.c
@@ -44,13 +44,13 @@
     s->stage_since = ck_now();
     if (px_permit_take(s) == LM_OVER) {
         s->arrived = ck_now();
-        px_permit_refuse(s);
+        px_refuse_over_limit(s);
         return;
     }
     s->txn = PX_IN_TXN;
     s->txn_read_only = s->stmt.read_only;
     s->txn_begun = s->txn_wrote = s->txn_rolled_back = false;
-    px_answer_own(s); /* it begins at an instance with its first statement */
+    px_answer_local(s); /* it begins at an instance with its first statement */
 }
 
 static void rollback(struct px_session *s)
@@ -61,7 +61,7 @@
     }
     px_drop_txn(s);
     s->txn = PX_IDLE;
-    px_answer_own(s);
+    px_answer_local(s);
 }
 
 static void commit(struct px_session *s)
@@ -136,7 +136,7 @@
     if (in_failed(s))
         return;
     if (apply(&s->state, &s->stmt, &err))
-        px_answer_own(s);
+        px_answer_local(s);
     else
         refuse(s, err.kind, err.text);
 }
--- a/proxy/targets.c
+++ b/proxy/targets.c
@@ -10,7 +10,7 @@
     return strcmp(p->nodes[i].name, p->cfg.name) == 0;
 }
 
-static bool was_tried(const struct px_proxy *p, const struct px_tries *t, int i)
+static bool was_tried(const struct px_proxy *p, const struct px_tried_nodes *t, int i)
 {
     for (int k = 0; k < t->n; k++) {
         if (strcmp(t->nb[k]->name, p->nodes[i].name) == 0)
@@ -58,8 +58,8 @@
 }
 
 /* The first of the best rank; -1: none is left. */
-static int pick_holder(const struct px_session *s, struct px_group *g, const struct px_tries *t,
-                       int64_t now)
+static int pick_holder(const struct px_session *s, struct px_group *g,
+                       const struct px_tried_nodes *t, int64_t now)
 {
     const struct px_proxy *p = s->p;
     int order[HO_MAX_HOLDERS], best = -1, n = order_of(s, g, t->n == 0, order);
@@ -104,7 +104,7 @@
 }
 
 static int pick_other(const struct px_session *s, const struct px_group *g,
-                      const struct px_tries *t, int64_t now)
+                      const struct px_tried_nodes *t, int64_t now)
 {
     const struct px_proxy *p = s->p;
     bool known_first = s->state.session % TRY_OTHERS_EVERY != 0;
@@ -140,16 +140,16 @@
 
 /* ---- */
 
-struct px_group *px_wanted_group(const struct px_session *s)
+struct px_group *px_database_group(const struct px_session *s)
 {
     const struct cg_route *r = cg_route(&s->p->catalog, sr_from(s->database));
     return r ? px_group(s->p, r->group) : NULL;
 }
 
-struct px_target px_next_target(const struct px_session *s, const struct px_tries *t,
+struct px_target px_next_target(const struct px_session *s, const struct px_tried_nodes *t,
                                 bool seeks, int64_t now)
 {
-    struct px_group *g = px_wanted_group(s);
+    struct px_group *g = px_database_group(s);
     struct px_target to = {-1, false};
     if (!g || g->n_holders == 0 || t->n == PX_MAX_TRIES)
         return to;
--- a/proxy/work.c
+++ b/proxy/work.c
@@ -22,7 +22,7 @@
 
 /* ---- beginning and ending ---- */
 
-void px_part_done(struct px_session *s, enum px_part part)
+void px_stage_done(struct px_session *s, enum px_part part)
 {
     int64_t now = ck_now();
     px_stage(&s->p->stages, part, now - s->stage_since);
@@ -143,7 +143,7 @@
     int64_t now = ck_now();
     enum lm_verdict permit = px_permit_take(s);
     if (permit == LM_OVER) {
-        px_permit_refuse(s);
+        px_refuse_over_limit(s);
         return;
     }
     if (permit == LM_WAIT) {
@@ -164,12 +164,12 @@
     px_inst_take(in, s);
 }
 
-bool px_try_again(struct px_session *s, int64_t after_us, bool counts)
+bool px_retry(struct px_session *s, int64_t after_us, bool counts)
 {
     if (counts && ++s->attempts >= s->route.attempts)
         return false;
     if (counts)
-        px_permit_again(s);
+        px_permit_charge_retry(s);
     s->p->c.retries++;
     px_park(s, ck_now() + after_us);
     if (after_us == 0)
@@ -198,12 +198,12 @@
     struct px_conn *c = s->conn;
     if (!repeatable(s) || px_needs_primary(s) || px_last_try(s))
         return;
-    if (c->phase != PX_C_RUNNING || px_heard(s->p) - s->sent_at < patience(s))
+    if (c->phase != PX_C_RUNNING || px_received_until(s->p) - s->sent_at < patience(s))
         return;
     s->skip_mask |= 1u << c->inst->at;
     s->conn = NULL;
     px_conn_orphan(c);
-    px_try_again(s, 0, true);
+    px_retry(s, 0, true);
 }
 
 static int64_t longest_wait(const struct px_session *s)
@@ -215,7 +215,7 @@
 /* Where it waits no connection comes free; another instance may have one. */
 static void wait_tick(struct px_session *s, int64_t now)
 {
-    if (px_heard(s->p) - s->arrived > longest_wait(s)) {
+    if (px_received_until(s->p) - s->arrived > longest_wait(s)) {
         if (s->inst->at == s->inst->group->cfg.primary)
             s->inst->group->refused_at = now;
         px_refuse(s, ER_OVERLOAD, "no connection to the database is free; retry in 100 ms");
@@ -234,16 +234,17 @@
 static bool expired(const struct px_session *s, int64_t now)
 {
     bool sent = s->stage == PX_S_AT_INSTANCE && s->conn && s->conn->phase == PX_C_RUNNING;
-    return (sent ? px_heard(s->p) : now) > s->deadline;
+    return (sent ? px_received_until(s->p) : now) > s->deadline;
 }
 
 void px_work_tick(struct px_session *s, int64_t now)
 {
     if (expired(s, now))
         px_expire(s);
-    else if (s->stage == PX_S_PARKED && px_cut_off(s->p))
+    else if (s->stage == PX_S_PARKED && px_disconnected(s->p))
         px_refuse(s, ER_NO_LEASE, "this node is cut off; another may serve it, at once");
-    else if (s->permit == PX_PERMIT_NEEDED && px_heard(s->p) - s->arrived > longest_wait(s))
+    else if (s->permit == PX_PERMIT_NEEDED &&
+             px_received_until(s->p) - s->arrived > longest_wait(s))
         px_refuse(s, ER_LIMIT, "no permit for the account has come; retry in 200 ms");
     else if (s->stage == PX_S_PARKED && now >= s->retry_at)
         px_route_work(s);
