--- a/proxy/question.c
+++ b/proxy/pending.c
@@ -1,15 +1,15 @@
-#include "proxy/question.h"
+#include "proxy/pending.h"
 
 #include <string.h>
 
 /* A write for itself is kept; one in a transaction is with its COMMIT. */
-static void write_said(struct px_question *q, enum px_txn txn)
+static void write_said(struct px_pending *q, enum px_txn txn)
 {
     q->wrote = true;
     q->keeps = q->keeps || txn == PX_IDLE;
 }
 
-static void statement_said(struct px_question *q, const struct px_stmt *st, enum px_txn txn)
+static void statement_said(struct px_pending *q, const struct px_stmt *st, enum px_txn txn)
 {
     q->ends = false;
     switch (st->verb) {
@@ -32,7 +32,7 @@
     }
 }
 
-static void line_said(struct px_question *q, const struct px_codec *codec, enum px_txn txn)
+static void line_said(struct px_pending *q, const struct px_codec *codec, enum px_txn txn)
 {
     struct px_msg m;
     struct px_stmt st = {.verb = PX_V_BAD};
@@ -47,8 +47,8 @@
     statement_said(q, &st, txn);
 }
 
-void px_question_said(struct px_question *q, const struct px_codec *codec, enum px_txn txn,
-                      const char *data, size_t len)
+void px_pending_add(struct px_pending *q, const struct px_codec *codec, enum px_txn txn,
+                    const char *data, size_t len)
 {
     for (size_t i = 0; i < len; i++) {
         if (data[i] == '\n') {
@@ -60,14 +60,14 @@
     }
 }
 
-void px_question_answered(struct px_question *q, enum px_txn txn)
+void px_pending_answered(struct px_pending *q, enum px_txn txn)
 {
     q->open = 0;
     q->keeps = q->ends = false;
     q->wrote = q->wrote && txn != PX_IDLE;
 }
 
-bool px_question_harmless(const struct px_question *q)
+bool px_pending_harmless(const struct px_pending *q)
 {
     return !q->piped && !q->keeps;
 }
--- a/proxy/question.h
+++ b/proxy/pending.h
@@ -2,15 +2,15 @@
  * to it comes: what may truthfully be said of it then.
  *
  * Pure; only the beginnings of lines are kept. In doubt a question keeps something. */
-#ifndef FL_PROXY_QUESTION_H
-#define FL_PROXY_QUESTION_H
+#ifndef FL_PROXY_PENDING_H
+#define FL_PROXY_PENDING_H
 
 #include "proxy/wire.h"
 
-enum { PX_QUESTION_HEAD = 160 }; /* bytes of a line that are looked at: id and verb */
+enum { PX_PENDING_HEAD_BYTES = 160 }; /* bytes of a line that are looked at: id and verb */
 
-struct px_question {
-    char head[PX_QUESTION_HEAD]; /* of the line that is not whole yet */
+struct px_pending {
+    char head[PX_PENDING_HEAD_BYTES]; /* of the line that is not whole yet */
     size_t len;
     int open;   /* whole questions since the last answer */
     bool keeps; /* one of them may be kept */
@@ -20,12 +20,12 @@
 };
 
 /* The caller says this; `txn` is where the last answer left the session. */
-void px_question_said(struct px_question *q, const struct px_codec *codec, enum px_txn txn,
-                      const char *data, size_t len);
+void px_pending_add(struct px_pending *q, const struct px_codec *codec, enum px_txn txn,
+                    const char *data, size_t len);
 /* All of it is answered. */
-void px_question_answered(struct px_question *q, enum px_txn txn);
+void px_pending_answered(struct px_pending *q, enum px_txn txn);
 /* Whether nothing of what is open is kept, whether or not it was carried out: a read, or a
  * statement of a transaction whose COMMIT nobody has asked for. */
-bool px_question_harmless(const struct px_question *q);
+bool px_pending_harmless(const struct px_pending *q);
 
 #endif
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -16,7 +16,7 @@
 #include "proxy/place.h"
 #include "proxy/relief.h"
 #include "proxy/proxy.h"
-#include "proxy/question.h"
+#include "proxy/pending.h"
 #include "proxy/stages.h"
 #include "proxy/state.h"
 #include "proxy/window.h"
--- a/proxy/relay.c
+++ b/proxy/relay.c
@@ -44,13 +44,13 @@
     bool left;              /* the caller is being sent away, for this reason */
     enum px_end_reason why;
     int64_t left_at;
-    bool rests;           /* there, after the last answer */
-    bool asked;           /* a whole message went there since */
-    int64_t asked_at;     /* the first of them */
-    struct px_question q; /* what was asked */
-    enum px_txn txn;      /* after the last answer */
-    struct sr_buf in;     /* a line from the other node that is not whole yet */
-    int64_t began;        /* this try, and what it waits for: to be open, to be greeted */
+    bool rests;          /* there, after the last answer */
+    bool asked;          /* a whole message went there since */
+    int64_t asked_at;    /* the first of them */
+    struct px_pending q; /* what was asked */
+    enum px_txn txn;     /* after the last answer */
+    struct sr_buf in;    /* a line from the other node that is not whole yet */
+    int64_t began;       /* this try, and what it waits for: to be open, to be greeted */
 };
 
 bool px_parse_relayed(const struct px_msg *open, uint64_t *document, bool *pass_on)
@@ -154,7 +154,7 @@
     r->rests = false;
     if (!r->asked)
         r->asked_at = ck_now();
-    px_question_said(&r->q, r->s->p->cfg.codec, r->txn, data, len);
+    px_pending_add(&r->q, r->s->p->cfg.codec, r->txn, data, len);
     r->asked = r->q.open > 0;
     nt_send(r->net, data, len);
 }
@@ -182,7 +182,7 @@
     s->txn = r->txn != PX_IDLE && !r->q.ends ? PX_TXN_FAILED : PX_IDLE;
     px_refuse_relayed(s, kind, detail);
     r->txn = s->txn;
-    px_question_answered(&r->q, r->txn);
+    px_pending_answered(&r->q, r->txn);
     r->asked = false;
 }
 
@@ -198,7 +198,7 @@
 static void tell_unanswered(struct px_relay *r, bool sent, enum px_end_reason why)
 {
     struct px_session *s = r->s;
-    bool harmless = !sent || px_question_harmless(&r->q);
+    bool harmless = !sent || px_pending_harmless(&r->q);
     bool in_txn = r->txn != PX_IDLE;
     s->arrived = r->asked_at;
     s->p->c.silent_told++;
@@ -260,7 +260,7 @@
         r->s->p->c.statements_relayed++;
     }
     r->asked = false;
-    px_question_answered(&r->q, m.txn);
+    px_pending_answered(&r->q, m.txn);
     return true;
 }
 
@@ -413,7 +413,7 @@
 {
     r->rests = false;
     r->asked_at = ck_now();
-    px_question_said(&r->q, r->s->p->cfg.codec, r->txn, data, len);
+    px_pending_add(&r->q, r->s->p->cfg.codec, r->txn, data, len);
     if (r->q.open > 0)
         tell_unanswered(r, false, PX_END_HOLDER_SILENT);
 }
@@ -423,7 +423,7 @@
 {
     struct px_session *s = r->s;
     s->arrived = ck_now();
-    px_question_said(&r->q, s->p->cfg.codec, r->txn, data, len);
+    px_pending_add(&r->q, s->p->cfg.codec, r->txn, data, len);
     if (r->q.open == 0)
         return; /* not whole yet */
     tell_not_run(r);
@@ -484,7 +484,7 @@
 {
     struct px_session *s = r->s;
     if (r->asked) {
-        if (px_question_harmless(&r->q) ||
+        if (px_pending_harmless(&r->q) ||
             px_received_until(s->p) - r->asked_at > longest_wait(s))
             tell_unanswered(r, true, PX_END_HOLDER_SILENT);
     } else if (r->rests && now - r->nb->b.silent_at > px_stagger_us(s, MOVE_OVER_US)) {
--- a/tests/unit/test_neighbor.c
+++ b/tests/unit/test_neighbor.c
@@ -5,7 +5,7 @@
 #include "misc/clock.h"
 #include "platform/platform.h"
 #include "proxy/neighbor.h"
-#include "proxy/question.h"
+#include "proxy/pending.h"
 #include "tests/unit/unit.h"
 
 /* ---- neighbours ---- */
@@ -152,16 +152,16 @@
 {
     for (size_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++) {
         const struct row *r = &rows[i];
-        struct px_question q = {0}, piece = {0};
-        px_question_said(&q, &pf_lines, r->txn, r->before, strlen(r->before));
-        px_question_answered(&q, r->txn);
-        px_question_said(&q, &pf_lines, r->txn, r->open, strlen(r->open));
-        px_question_said(&piece, &pf_lines, r->txn, r->before, strlen(r->before));
-        px_question_answered(&piece, r->txn);
+        struct px_pending q = {0}, piece = {0};
+        px_pending_add(&q, &pf_lines, r->txn, r->before, strlen(r->before));
+        px_pending_answered(&q, r->txn);
+        px_pending_add(&q, &pf_lines, r->txn, r->open, strlen(r->open));
+        px_pending_add(&piece, &pf_lines, r->txn, r->before, strlen(r->before));
+        px_pending_answered(&piece, r->txn);
         for (const char *p = r->open; *p; p++)
-            px_question_said(&piece, &pf_lines, r->txn, p, 1);
-        if (px_question_harmless(&q) != r->harmless ||
-            px_question_harmless(&piece) != r->harmless)
+            px_pending_add(&piece, &pf_lines, r->txn, p, 1);
+        if (px_pending_harmless(&q) != r->harmless ||
+            px_pending_harmless(&piece) != r->harmless)
             CU_FAIL(r->what);
     }
 }
@@ -169,27 +169,27 @@
 /* A transaction that wrote is over: the next one begins anew. */
 static void an_ended_transaction_is_forgotten(void)
 {
-    struct px_question q = {0};
+    struct px_pending q = {0};
     const char *write = "QUERY a WRITE x y\r\n", *commit = "QUERY b COMMIT\r\n";
-    px_question_said(&q, &pf_lines, PX_IN_TXN, write, strlen(write));
-    px_question_answered(&q, PX_IN_TXN);
-    px_question_said(&q, &pf_lines, PX_IN_TXN, commit, strlen(commit));
-    CU_ASSERT(q.ends && !px_question_harmless(&q));
-    px_question_answered(&q, PX_IDLE);
-    px_question_said(&q, &pf_lines, PX_IN_TXN, commit, strlen(commit));
-    CU_ASSERT(px_question_harmless(&q));
+    px_pending_add(&q, &pf_lines, PX_IN_TXN, write, strlen(write));
+    px_pending_answered(&q, PX_IN_TXN);
+    px_pending_add(&q, &pf_lines, PX_IN_TXN, commit, strlen(commit));
+    CU_ASSERT(q.ends && !px_pending_harmless(&q));
+    px_pending_answered(&q, PX_IDLE);
+    px_pending_add(&q, &pf_lines, PX_IN_TXN, commit, strlen(commit));
+    CU_ASSERT(px_pending_harmless(&q));
 }
 
 /* A line longer than what is looked at counts by its beginning. */
 static void long_lines_count_by_their_beginning(void)
 {
-    struct px_question q = {0};
+    struct px_pending q = {0};
     char line[600];
     memset(line, 'x', sizeof(line));
     sr_move(line, "QUERY a WRITE ", 14);
     line[sizeof(line) - 1] = '\n';
-    px_question_said(&q, &pf_lines, PX_IDLE, line, sizeof(line));
-    CU_ASSERT(q.open == 1 && !px_question_harmless(&q));
+    px_pending_add(&q, &pf_lines, PX_IDLE, line, sizeof(line));
+    CU_ASSERT(q.open == 1 && !px_pending_harmless(&q));
 }
 
 void neighbor_suite(void)
