--- a/proxy/conn.c
+++ b/proxy/conn.c
@@ -77,9 +77,10 @@
            "request %.*s session %llu to %s: floor %d %llu.%llu, seen %llu.%llu, begun %d",
            (int)s->id.len, s->id.p, (unsigned long long)s->state.session, c->inst->cfg.id,
            floor, (unsigned long long)s->floor.term, (unsigned long long)s->floor.pos,
-           (unsigned long long)s->seen.term, (unsigned long long)s->seen.pos, s->begun);
+           (unsigned long long)s->last_commit.term, (unsigned long long)s->last_commit.pos,
+           s->txn_begun);
     c->phase = PX_C_RUNNING;
-    px_part_done(s, PX_T_SETUP);
+    px_stage_done(s, PX_T_SETUP);
     s->sent_at = c->last_used_at = ck_now();
     s->offers++;
     bool ok = send_msg(c, &m);
@@ -96,9 +97,9 @@
         *sent = send_own_stmt(c, &c->setup, false, s->floor);
         return true;
     }
-    if (s->txn == PX_IDLE || s->begun)
+    if (s->txn == PX_IDLE || s->txn_begun)
         return false;
-    c->setup = (struct px_stmt){.verb = PX_V_BEGIN, .read_only = s->read_only};
+    c->setup = (struct px_stmt){.verb = PX_V_BEGIN, .read_only = s->txn_read_only};
     c->phase = PX_C_SETUP;
     *sent = send_own_stmt(c, &c->setup, s->has_floor, s->floor);
     return true;
@@ -122,7 +123,7 @@
     s->conn = c;
     s->inst = c->inst;
     s->stage = PX_S_AT_INSTANCE;
-    px_part_done(s, PX_T_WAIT);
+    px_stage_done(s, PX_T_WAIT);
     send_next(c);
 }
 
@@ -200,7 +201,7 @@
     else if (c->error == ER_NONE)
         px_window_done(&c->inst->window, us, px_inst_running(c->inst) - 1, ck_now());
     if (c->error == ER_NONE && c->session->stmt.verb != PX_V_COMMIT)
-        px_pace_note(&c->inst->group->pace, c->session->kind, &c->inst->pace, us);
+        px_pace_note(&c->inst->group->pace, c->session->pace_kind, &c->inst->pace, us);
 }
 
 /* Of the answers, only those to reads tell of the instance: a write may fail by what it writes.
@@ -230,7 +231,7 @@
     px_saturation_accepted(&in->saturation, &in->p->saturation, count_open(in), ck_now());
     in->too_many_since = 0;
     in->wants_first_conn = false;
-    in->p->c.opened++;
+    in->p->c.opened_conns++;
     px_inst_serve_waiters(in);
 }
 
@@ -247,10 +248,10 @@
         px_conn_idle(c);
     else
         px_conn_close(c);
-    if (px_in_txn(s) && s->begun)
-        px_lost(s, c, false);
+    if (px_in_txn(s) && s->txn_begun)
+        px_on_conn_lost(s, c, false);
     else
-        px_not_sent(s, c, why);
+        px_on_not_sent(s, c, why);
 }
 
 static void handle_setup_answer(struct px_conn *c)
@@ -261,7 +262,7 @@
         return;
     }
     if (c->setup.verb == PX_V_BEGIN)
-        s->begun = true;
+        s->txn_begun = true;
     else
         px_setup_done(&s->state, &c->applied, &c->setup);
     send_next(c);
@@ -294,8 +295,8 @@
     case PX_C_RUNNING:
         note_service_time(c);
         note_outcome(c);
-        px_part_done(c->session, PX_T_INSTANCE);
-        px_answered(c->session, c);
+        px_stage_done(c->session, PX_T_INSTANCE);
+        px_on_answer(c->session, c);
         break;
     case PX_C_ROLLING_BACK:
     case PX_C_ORPHANED:
@@ -448,7 +449,7 @@
         handle_instance_close(c, refused);
     if (s) {
         s->conn = NULL;
-        px_lost(s, c, c->phase == PX_C_RUNNING);
+        px_on_conn_lost(s, c, c->phase == PX_C_RUNNING);
     }
     conn_free(c);
     px_inst_serve_waiters(in);
@@ -476,7 +477,7 @@
 
 void px_conn_tick(struct px_conn *c, int64_t now)
 {
-    int64_t silent_us = px_heard(c->inst->p) - c->sent_at;
+    int64_t silent_us = px_received_until(c->inst->p) - c->sent_at;
     if (c->closing)
         return;
     if (c->phase == PX_C_OPENING && silent_us > GREETING_TIMEOUT_US) {
--- a/proxy/holders.c
+++ b/proxy/holders.c
@@ -33,7 +33,7 @@
 
 bool px_knows_nodes(const struct px_proxy *p)
 {
-    bool waited = p->configured_at && px_heard(p) - p->configured_at >= NODE_LIST_WAIT_US;
+    bool waited = p->configured_at && px_received_until(p) - p->configured_at >= NODE_LIST_WAIT_US;
     return p->n_nodes > 0 || waited;
 }
 
@@ -111,7 +111,7 @@
         g->held = known && px_configured(p) && (k == 0 || g->connects_first);
         if (held && !g->held)
             g->released_at = ck_now();
-        p->news = p->news || (g->held && !held);
+        p->has_changes = p->has_changes || (g->held && !held);
         if (held != g->held || before != g->n_holders)
             FL_EVENT(&p->log, LG_INFO, "holding_changed",
                      "group=%s held=%d holders=%d nodes=%d", g->cfg.name, g->held, g->n_holders,
--- a/proxy/neighbors.c
+++ b/proxy/neighbors.c
@@ -122,7 +122,7 @@
     (void)net;
     (void)refused;
     nb->trial_conn = NULL;
-    end_trial(nb, opened && !nb_trial_late(&nb->status, px_heard(nb->p)));
+    end_trial(nb, opened && !nb_trial_late(&nb->status, px_received_until(nb->p)));
 }
 
 static const struct nt_ops trial_ops = {on_open, on_message, on_close};
@@ -145,7 +145,7 @@
 
 void px_neighbors_tick(struct px_proxy *p, int64_t now)
 {
-    int64_t heard = px_heard(p);
+    int64_t heard = px_received_until(p);
     for (struct px_neighbor *nb = p->neighbors; nb; nb = nb->next) {
         if (nb->trial_conn && nb_trial_late(&nb->status, heard))
             abandon_trial(nb);
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -22,7 +22,7 @@
     p->loop = l;
     p->cfg = *cfg;
     p->rng = rn_seed(cfg->seed);
-    p->permits_untold = true;
+    p->permits_unreported = true;
     if (!px_listen(p, err)) {
         free(p);
         return NULL;
@@ -35,7 +35,7 @@
     return p->catalog.version > 0;
 }
 
-int64_t px_heard(const struct px_proxy *p)
+int64_t px_received_until(const struct px_proxy *p)
 {
     return nt_heard_until(p->loop);
 }
@@ -47,9 +47,10 @@
     return p->cfg.host.leased(p->cfg.host.ud);
 }
 
-bool px_cut_off(const struct px_proxy *p)
+bool px_disconnected(const struct px_proxy *p)
 {
-    return p->leased_at && !px_leased(p) && px_heard(p) - p->leased_at > PX_CUT_OFF_US;
+    return p->leased_at && !px_leased(p) &&
+           px_received_until(p) - p->leased_at > PX_DISCONNECTED_US;
 }
 
 /* ---- shares ---- */
@@ -100,9 +101,9 @@
 
 bool px_has_news(struct px_proxy *p)
 {
-    bool news = p->news;
-    p->news = false;
-    return news;
+    bool changes = p->has_changes;
+    p->has_changes = false;
+    return changes;
 }
 
 void px_share(struct px_proxy *p, struct sr_str id, int connections)
@@ -132,7 +133,7 @@
     if (!p->stopping || now - p->stop_began < p->cfg.grace_us * STOP_FORCE_PERCENT / 100)
         return;
     for (struct px_session *s = p->sessions; s; s = s->next) {
-        if (s->stage == PX_S_REST && px_in_txn(s) && s->conn)
+        if (s->stage == PX_S_IDLE && px_in_txn(s) && s->conn)
             px_abort_txn(s);
     }
 }
@@ -140,9 +141,9 @@
 static void tell_stages(struct px_proxy *p, int64_t now)
 {
     struct sr_buf b = {0};
-    if (now - p->stages_told_at < STAGES_EVERY_US)
+    if (now - p->stages_logged_at < STAGES_EVERY_US)
         return;
-    p->stages_told_at = now;
+    p->stages_logged_at = now;
     if (px_stages_report(&p->stages, &b))
         FL_EVENT(&p->log, LG_INFO, "stages", "%.*s", (int)b.len, b.p);
     sr_buf_free(&b);
@@ -191,7 +192,7 @@
 static bool any_asked_elsewhere(const struct px_proxy *p)
 {
     for (const struct px_session *s = p->sessions; s; s = s->next) {
-        if (px_asked_elsewhere(s))
+        if (px_relay_pending(s))
             return true;
     }
     return false;
@@ -243,8 +244,8 @@
         const char *peer;
         uint64_t n;
     } rows[] = {{"instance", p->stages.part[PX_T_SETUP].count},
-                {"node", p->c.passed},
-                {"asker", p->c.served}};
+                {"node", p->c.statements_relayed},
+                {"asker", p->c.statements_served}};
     for (size_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++)
         sr_buf_printf(out, "ferry_session_peer_statements_total{peer=\"%s\"} %llu\n",
                       rows[i].peer, (unsigned long long)rows[i].n);
@@ -313,16 +314,16 @@
     struct px_account rest = {0};
     for (int i = 0; i < p->n_accounts; i++) {
         if (i < PX_ACCOUNTS_TOLD) {
-            put_account(out, a[i]->name, a[i]->begun, a[i]->refused, a[i]->stock.held);
+            put_account(out, a[i]->name, a[i]->begun, a[i]->refused, a[i]->permits.held);
             put_limit(out, ac_by_name(&p->catalog.accounts, a[i]->name));
         } else {
             rest.begun += a[i]->begun;
             rest.refused += a[i]->refused;
-            rest.stock.held += a[i]->stock.held;
+            rest.permits.held += a[i]->permits.held;
         }
     }
     if (p->n_accounts > PX_ACCOUNTS_TOLD)
-        put_account(out, "-", rest.begun, rest.refused, rest.stock.held);
+        put_account(out, "-", rest.begun, rest.refused, rest.permits.held);
     free(a);
 }
 
@@ -380,12 +381,12 @@
                 {"behind_total", p->c.behind},
                 {"retries_total", p->c.retries},
                 {"parked_total", p->c.parked},
-                {"lost_connections_total", p->c.lost},
-                {"opened_connections_total", p->c.opened},
-                {"replaced_connections_total", p->c.replaced},
+                {"lost_connections_total", p->c.lost_conns},
+                {"opened_connections_total", p->c.opened_conns},
+                {"replaced_connections_total", p->c.replaced_conns},
                 {"unknown_keys_total", p->c.unknown_keys},
                 {"relayed_total", p->c.relayed},
-                {"relayed_by_others_total", p->c.by_others},
+                {"relayed_by_others_total", p->c.relayed_by_others},
                 {"passed_on_total", p->c.passed_on},
                 {"neighbors_silent", (uint64_t)px_count_silent_neighbors(p)},
                 {"neighbor_trials_total", p->c.trials},
@@ -404,9 +405,9 @@
     for (int k = 1; k < ER_COUNT; k++)
         sr_buf_printf(out, "ferry_session_failed_by_total{reason=\"%s\"} %llu\n", er_name(k),
                       (unsigned long long)p->c.by_reason[k]);
-    for (int k = 0; k < PX_ENDS; k++)
-        sr_buf_printf(out, "ferry_session_closed_total{why=\"%s\"} %llu\n", px_end_name(k),
-                      (unsigned long long)p->c.ends[k]);
+    for (int k = 0; k < PX_END_REASONS; k++)
+        sr_buf_printf(out, "ferry_session_closed_total{why=\"%s\"} %llu\n",
+                      px_end_reason_name(k), (unsigned long long)p->c.ends[k]);
     put_traffic(out, p);
     put_passed(out, p);
     put_accounts(out, p);
--- a/proxy/relay.c
+++ b/proxy/relay.c
@@ -35,25 +35,25 @@
 struct px_relay {
     struct px_session *s;
     struct nt_conn *net; /* to the other node; NULL: none */
-    struct px_tries tries;
+    struct px_tried_nodes tried;
     struct px_neighbor *nb; /* the last of these */
     bool by_other;          /* it is no holder, and passes the session on */
     bool late;              /* it did not greet in time */
     bool greeted;           /* by the other node */
     bool spoke;             /* the caller got something: another greeting would be too many */
     bool left;              /* the caller is being sent away, for this reason */
-    enum px_end why;
+    enum px_end_reason why;
     int64_t left_at;
-    bool rests;           /* there, after the last answer */
-    bool asked;           /* a whole message went there since */
-    int64_t asked_at;     /* the first of them */
-    struct px_question q; /* what was asked */
-    enum px_txn txn;      /* after the last answer */
-    struct sr_buf in;     /* a line from the other node that is not whole yet */
-    int64_t began;        /* this try, and what it waits for: to be open, to be greeted */
+    bool rests;          /* there, after the last answer */
+    bool asked;          /* a whole message went there since */
+    int64_t asked_at;    /* the first of them */
+    struct px_pending q; /* what was asked */
+    enum px_txn txn;     /* after the last answer */
+    struct sr_buf in;    /* a line from the other node that is not whole yet */
+    int64_t began;       /* this try, and what it waits for: to be open, to be greeted */
 };
 
-bool px_is_relayed(const struct px_msg *open, uint64_t *document, bool *pass_on)
+bool px_parse_relayed(const struct px_msg *open, uint64_t *document, bool *pass_on)
 {
     size_t n = sizeof(relayed_by) - 1;
     *document = 0;
@@ -75,12 +75,12 @@
     return true;
 }
 
-bool px_asked_elsewhere(const struct px_session *s)
+bool px_relay_pending(const struct px_session *s)
 {
     return s->relay && s->relay->asked;
 }
 
-bool px_rests_elsewhere(const struct px_session *s)
+bool px_relay_idle(const struct px_session *s)
 {
     return s->relay && s->relay->greeted && s->relay->rests;
 }
@@ -93,10 +93,10 @@
  * bring each of its tries here again, and has to be closed when the lease is back. */
 bool px_should_relay(const struct px_session *s)
 {
-    struct px_group *g = px_wanted_group(s);
-    if (!g || s->p->n_nodes < 2 || (s->came_relayed && (!s->to_pass_on || g->held)))
+    struct px_group *g = px_database_group(s);
+    if (!g || s->p->n_nodes < 2 || (s->relayed_to_us && (!s->may_pass_on || g->held)))
         return false;
-    if (px_cut_off(s->p))
+    if (px_disconnected(s->p))
         return true;
     if (g->held && px_has_accounts(s->p))
         return !px_serves_account(s, g);
@@ -109,9 +109,9 @@
 
 static void drop_tries(struct px_relay *r)
 {
-    for (int k = 0; k < r->tries.n; k++)
-        px_neighbor_unref(r->tries.nb[k]);
-    r->tries.n = 0;
+    for (int k = 0; k < r->tried.n; k++)
+        px_neighbor_unref(r->tried.nb[k]);
+    r->tried.n = 0;
 }
 
 static void relay_free(struct px_relay *r)
@@ -154,7 +154,7 @@
     r->rests = false;
     if (!r->asked)
         r->asked_at = ck_now();
-    px_question_said(&r->q, r->s->p->cfg.codec, r->txn, data, len);
+    px_pending_add(&r->q, r->s->p->cfg.codec, r->txn, data, len);
     r->asked = r->q.open > 0;
     nt_send(r->net, data, len);
 }
@@ -162,12 +162,12 @@
 /* Close the session, but not in the middle of a question. */
 static void end_left(struct px_relay *r, int64_t now)
 {
-    if (r->q.len == 0 || r->s->came_relayed || now - r->left_at > REST_OF_LINE_US)
-        px_end_resting(r->s, r->why);
+    if (r->q.len == 0 || r->s->relayed_to_us || now - r->left_at > REST_OF_LINE_US)
+        px_end_idle(r->s, r->why);
 }
 
 /* The caller is sent away; what it says before it learns of it is refused. */
-static void leave(struct px_relay *r, enum px_end why)
+static void leave(struct px_relay *r, enum px_end_reason why)
 {
     r->left = true;
     r->why = why;
@@ -182,7 +182,7 @@
     s->txn = r->txn != PX_IDLE && !r->q.ends ? PX_TXN_FAILED : PX_IDLE;
     px_refuse_relayed(s, kind, detail);
     r->txn = s->txn;
-    px_question_answered(&r->q, r->txn);
+    px_pending_answered(&r->q, r->txn);
     r->asked = false;
 }
 
@@ -195,10 +195,10 @@
 
 /* What is open there has no answer, and will have none that the caller gets: say what is true
  * of it, and send the caller away. `sent`: it went out. */
-static void tell_unanswered(struct px_relay *r, bool sent, enum px_end why)
+static void tell_unanswered(struct px_relay *r, bool sent, enum px_end_reason why)
 {
     struct px_session *s = r->s;
-    bool harmless = !sent || px_question_harmless(&r->q);
+    bool harmless = !sent || px_pending_harmless(&r->q);
     bool in_txn = r->txn != PX_IDLE;
     s->arrived = r->asked_at;
     s->p->c.silent_told++;
@@ -234,7 +234,7 @@
     }
     if (r->asked)
         tell_not_run(r);
-    leave(r, PX_END_HOLDER_ENDS);
+    leave(r, PX_END_HOLDER_CLOSED);
 }
 
 /* Pass the first `n` bytes of what came on; they are whole lines. */
@@ -257,10 +257,10 @@
     r->rests = m.txn == PX_IDLE;
     if (r->asked && r->greeted) {
         px_stage(&r->s->p->stages, PX_T_RELAY, ck_now() - r->asked_at);
-        r->s->p->c.passed++;
+        r->s->p->c.statements_relayed++;
     }
     r->asked = false;
-    px_question_answered(&r->q, m.txn);
+    px_pending_answered(&r->q, m.txn);
     return true;
 }
 
@@ -270,8 +270,8 @@
     struct px_proxy *p = r->s->p;
     r->greeted = true;
     p->c.relayed++;
-    p->c.by_others += r->by_other;
-    p->c.passed_on += r->s->came_relayed;
+    p->c.relayed_by_others += r->by_other;
+    p->c.passed_on += r->s->relayed_to_us;
     if (r->by_other)
         r->nb->passed_on_at = ck_now();
     send_early(r);
@@ -324,7 +324,7 @@
 static void lost(struct px_relay *r)
 {
     nb_doubt(&r->nb->status, ck_now());
-    if (r->left || !r->s->net || r->s->left_at)
+    if (r->left || !r->s->net || r->s->end_sent_at)
         return;
     if (r->asked) {
         tell_unanswered(r, true, PX_END_HOLDER_LOST);
@@ -357,10 +357,10 @@
     struct px_session *s = r->s;
     if (!s->net)
         return;
-    if (s->came_relayed)
+    if (s->relayed_to_us)
         px_close(s, PX_END_NO_HOLDER, true);
-    else if (px_cut_off(s->p))
-        px_fail_cut_off(s);
+    else if (px_disconnected(s->p))
+        px_fail_disconnected(s);
     else
         px_fail_and_close(s, ER_NO_LEASE,
                           "no node that serves it answers; another may, at once");
@@ -369,8 +369,8 @@
 static bool may_try(const struct px_relay *r, int64_t now)
 {
     const struct px_proxy *p = r->s->p;
-    bool isolated = px_cut_off(p) && now < p->isolated_until;
-    return !isolated && now - r->s->since < TRY_FOR_US;
+    bool isolated = px_disconnected(p) && now < p->isolated_until;
+    return !isolated && now - r->s->idle_since < TRY_FOR_US;
 }
 
 static void connect_next(struct px_relay *r)
@@ -380,14 +380,14 @@
     int64_t now = ck_now();
     struct px_target to = {-1, false};
     if (s->net && may_try(r, now))
-        to = px_next_target(s, &r->tries, r->by_other, now);
+        to = px_next_target(s, &r->tried, r->by_other, now);
     if (to.node < 0) {
         give_up(r);
         return;
     }
     const struct ho_node *node = &p->nodes[to.node];
     r->nb = px_neighbor_ref(p, node);
-    r->tries.nb[r->tries.n++] = r->nb;
+    r->tried.nb[r->tried.n++] = r->nb;
     r->by_other = to.passes_on;
     r->late = false;
     sr_copy(r->nb->database, sizeof(r->nb->database), sr_from(s->database));
@@ -413,9 +413,9 @@
 {
     r->rests = false;
     r->asked_at = ck_now();
-    px_question_said(&r->q, r->s->p->cfg.codec, r->txn, data, len);
+    px_pending_add(&r->q, r->s->p->cfg.codec, r->txn, data, len);
     if (r->q.open > 0)
-        tell_unanswered(r, false, PX_END_SILENT);
+        tell_unanswered(r, false, PX_END_HOLDER_SILENT);
 }
 
 /* The session there is over. */
@@ -423,14 +423,14 @@
 {
     struct px_session *s = r->s;
     s->arrived = ck_now();
-    px_question_said(&r->q, s->p->cfg.codec, r->txn, data, len);
+    px_pending_add(&r->q, s->p->cfg.codec, r->txn, data, len);
     if (r->q.open == 0)
         return; /* not whole yet */
     tell_not_run(r);
     end_left(r, ck_now());
 }
 
-void px_relay_bytes(struct px_session *s, const char *data, size_t len)
+void px_relay_input(struct px_session *s, const char *data, size_t len)
 {
     struct px_relay *r = s->relay;
     if (r->left) {
@@ -446,13 +446,13 @@
         return;
     }
     if (!r->net || !r->greeted || nt_queued(r->net) > MAX_QUEUED) {
-        px_close(s, PX_END_NOT_READ, true);
+        px_close(s, PX_END_QUEUE_FULL, true);
         return;
     }
     send_there(r, data, len);
 }
 
-void px_relay_end(struct px_session *s)
+void px_relay_stop(struct px_session *s)
 {
     struct px_relay *r = s->relay;
     if (!r)
@@ -484,10 +484,11 @@
 {
     struct px_session *s = r->s;
     if (r->asked) {
-        if (px_question_harmless(&r->q) || px_heard(s->p) - r->asked_at > longest_wait(s))
-            tell_unanswered(r, true, PX_END_SILENT);
-    } else if (r->rests && now - r->nb->status.silent_at > px_turn(s, MOVE_OVER_US)) {
-        leave(r, PX_END_SILENT);
+        if (px_pending_harmless(&r->q) ||
+            px_received_until(s->p) - r->asked_at > longest_wait(s))
+            tell_unanswered(r, true, PX_END_HOLDER_SILENT);
+    } else if (r->rests && now - r->nb->status.silent_at > px_stagger_us(s, MOVE_OVER_US)) {
+        leave(r, PX_END_HOLDER_SILENT);
     }
 }
 
@@ -496,7 +497,7 @@
     if (r->left || !r->s->net)
         return;
     if (r->asked)
-        nb_waits(&r->nb->status, r->asked_at, px_heard(r->s->p));
+        nb_waits(&r->nb->status, r->asked_at, px_received_until(r->s->p));
     if (r->nb->status.state == NB_SILENT)
         leave_silent(r, now);
 }
@@ -504,7 +505,7 @@
 static void greeting_late(struct px_relay *r, int64_t now)
 {
     struct px_proxy *p = r->s->p;
-    if (px_cut_off(p) && !px_any_neighbor_passes_on(p, now))
+    if (px_disconnected(p) && !px_any_neighbor_passes_on(p, now))
         p->isolated_until = now + ISOLATED_US;
     r->late = true;
     nt_close(r->net, true);
@@ -513,11 +514,11 @@
 void px_relay_tick(struct px_session *s, int64_t now)
 {
     struct px_relay *r = s->relay;
-    if (r && r->greeted && s->net && px_rests_elsewhere(s) && !r->asked && key_is_gone(s)) {
-        px_end_resting(s, PX_END_REFUSED);
+    if (r && r->greeted && s->net && px_relay_idle(s) && !r->asked && key_is_gone(s)) {
+        px_end_idle(s, PX_END_REFUSED);
         return;
     }
-    if (r && r->left && s->net && !s->left_at)
+    if (r && r->left && s->net && !s->end_sent_at)
         end_left(r, now);
     if (!r || !r->net)
         return;
@@ -525,7 +526,7 @@
         watch(r, now);
         return;
     }
-    int64_t heard = px_heard(s->p);
+    int64_t heard = px_received_until(s->p);
     if (!r->by_other)
         nb_waits(&r->nb->status, r->began, heard);
     if (heard - r->began > GREET_US || r->nb->status.state == NB_SILENT)
