--- a/control/control.c
+++ b/control/control.c
@@ -75,7 +75,7 @@
         c->shares_told = false;
         c->knows_permits = false;
         c->nodes_known = false;
-        c->turn = (struct tu_turn){0};
+        c->turn = (struct pv_pending_view){0};
         ct_say_leading(c);
     }
     FL_INFO(&n->log, "a quorum vouches for term %llu, generation %llu",
--- a/control/control.h
+++ b/control/control.h
@@ -3,8 +3,8 @@
 #ifndef FL_CONTROL_CONTROL_H
 #define FL_CONTROL_CONTROL_H
 
-#include "control/tally.h"
-#include "control/turn.h"
+#include "control/traffic.h"
+#include "control/pending_view.h"
 #include "catalog/catalog.h"
 #include "endpoint/endpoint.h"
 #include "intent/intent.h"
@@ -103,18 +103,18 @@
     uint64_t id;
     char name[48], domain[48], ip[46];
     int port;
-    int carries;            /* entry: statements a second, as it says; 0: not told */
-    int http;               /* entry: port of its own pages; 0: not told */
-    uint64_t told_controls; /* hash of the list of control nodes it was told */
-    uint64_t sent_gen;      /* entry: generation sent last */
-    int64_t sent_at;        /* when */
-    struct tu_turn turn;    /* a view was held back */
-    bool knows_permits;     /* entry: it has told what permits it has */
-    bool shares_told;       /* the node knows all its shares but for those that changed since */
-    uint64_t nodes_hash;    /* entry: the list of nodes it has, or was sent last */
-    int64_t nodes_sent;     /* when; 0: it has told which it has, if nodes_known */
-    bool nodes_known;       /* it renewed its lease with this leader */
-    bool leaving;           /* entry: it stops soon, and is not listed any more */
+    int carries;                 /* entry: statements a second, as it says; 0: not told */
+    int http;                    /* entry: port of its own pages; 0: not told */
+    uint64_t told_controls;      /* hash of the list of control nodes it was told */
+    uint64_t sent_gen;           /* entry: generation sent last */
+    int64_t sent_at;             /* when */
+    struct pv_pending_view turn; /* a view was held back */
+    bool knows_permits;          /* entry: it has told what permits it has */
+    bool shares_told;    /* the node knows all its shares but for those that changed since */
+    uint64_t nodes_hash; /* entry: the list of nodes it has, or was sent last */
+    int64_t nodes_sent;  /* when; 0: it has told which it has, if nodes_known */
+    bool nodes_known;    /* it renewed its lease with this leader */
+    bool leaving;        /* entry: it stops soon, and is not listed any more */
 };
 
 /* Our connection to another control node; everything we send it goes here. */
@@ -228,7 +228,7 @@
     uint64_t snapshot_bytes; /* of the last snapshot */
     bool document_due;       /* ct_document_changed is to be called */
     bool disk_full;          /* writes wait for room */
-    struct ty_tally tally;
+    struct tf_traffic tally;
     int64_t tally_told_at;
     struct nt_counters net_told;    /* at the last report */
     struct nt_traffic peer_traffic; /* on connections to other control nodes made here */
@@ -254,7 +254,7 @@
 bool ct_in_force(const struct ct_node *n, uint64_t generation);
 const char *ct_member_name(const struct ct_node *n, uint64_t id);
 
-/* agree.c */
+/* consensus.c */
 extern const struct qr_sink ct_sink;
 bool ct_propose(struct ct_node *n, const struct vw_change *ch, uint64_t *index,
                 struct er_err *err);
@@ -311,7 +311,7 @@
 struct ct_group *ct_group_of(struct ct_node *n, const char *name);
 bool ct_caught_up(void *ud, const char *group, const char *inst);
 
-/* steering.c */
+/* failover.c */
 /* Propose a change that a group's steering wants, for its instance of that index; -1: none. */
 void ct_steer(struct ct_node *n, const struct ct_group *g, int inst, struct vw_change *ch);
 void ct_group_tick(struct ct_node *n, struct ct_group *g);
@@ -319,13 +319,13 @@
  */
 void ct_groups_soon(struct ct_node *n);
 
-/* steps.c: intents */
+/* intents.c */
 void ct_intents_tick(struct ct_node *n, int64_t now);
 
 /* platform.c */
 void ct_platform_tick(struct ct_node *n, int64_t now);
 
-/* orders.c: outside requests that wait for the log */
+/* commit_wait.c: outside requests that wait for the log */
 /* `done` is called once the entry at `index`, just proposed, is committed or given up. */
 void ct_await(struct ct_node *n, struct nt_conn *c, uint64_t index,
               void (*done)(struct ct_node *n, struct nt_conn *c, const struct er_err *err));
@@ -366,7 +366,7 @@
 /* Tell whoever is connected where the control nodes are, if that is news. */
 void ct_tell_controls(struct ct_conn *c);
 
-/* founders.c: the first voters, as they were when the cluster was made */
+/* initial_voters.c: the first voters, as they were when the cluster was made */
 bool ct_founders(struct ct_node *n, bool found, struct qr_members *m, struct er_err *err);
 
 /* ops.c */
--- a/control/nodes.c
+++ b/control/nodes.c
@@ -67,7 +67,7 @@
 static bool view_waits(const struct ct_conn *c, int64_t now)
 {
     int64_t lease = CK_MS(c->node->s->lease_ms);
-    return batch_waits(c) || (c->sent_gen && tu_keeps_lease(&c->turn, lease, now));
+    return batch_waits(c) || (c->sent_gen && pv_keeps_lease(&c->turn, lease, now));
 }
 
 /* Send what the node is missing, once per connection. A node that must wait gets it in a later
@@ -76,7 +76,8 @@
 {
     struct ct_node *n = c->node;
     uint64_t from = c->sent_gen > has ? c->sent_gen : has;
-    if (from >= n->view.generation || batch_waits(c) || !tu_take(&c->turn, &n->pace, ck_now()))
+    if (from >= n->view.generation || batch_waits(c) ||
+        !pv_try_send(&c->turn, &n->pace, ck_now()))
         return;
     bool whole = ct_needs_whole_view(n, from);
     if (whole && views_queued(n) > MAX_VIEWS_QUEUED)
@@ -85,7 +86,7 @@
     n->c.views++;
     n->c.snapshots += whole;
     n->c.view_bytes += f->bytes.len;
-    ty_out(&n->tally, WR_VIEW, f->bytes.len);
+    tf_count_out(&n->tally, WR_VIEW, f->bytes.len);
     vp_spent(&n->pace, (int64_t)f->bytes.len);
     c->sent_gen = n->view.generation;
     c->sent_at = ck_now();
@@ -107,7 +108,7 @@
 {
     for (struct ct_conn *c = n->conns; c; c = c->next) {
         bool knows = c->greeted && c->role == WR_ROLE_ENTRY;
-        if (knows && (c->sent_gen || c->turn.due))
+        if (knows && (c->sent_gen || c->turn.waiting))
             send_view(c, c->sent_gen);
     }
 }
@@ -273,7 +274,7 @@
     const struct ct_frame *f = nodes_frame(n, to->nodes_hash);
     n->c.node_lists++;
     n->c.node_list_bytes += f->bytes.len;
-    ty_out(&n->tally, WR_NODES, f->bytes.len);
+    tf_count_out(&n->tally, WR_NODES, f->bytes.len);
     to->nodes_hash = f->to;
     to->nodes_sent = now;
     if (to->net)
--- a/control/ops.c
+++ b/control/ops.c
@@ -142,7 +142,7 @@
     uint64_t syncs;
     int64_t longest;
     dk_stats(n->disk, &syncs, &longest);
-    ty_report(&n->tally, &b);
+    tf_report(&n->tally, &b);
     FL_EVENT(
         &n->log, LG_INFO, "traffic",
         "leads=%d entry_nodes=%d connections=%llu requests=%llu ended_by_us=%llu "
@@ -162,7 +162,7 @@
     struct sr_buf b = {0};
     put_counters(&b, n);
     put_shares(&b, &n->shares);
-    ty_metrics(&n->tally, &b);
+    tf_metrics(&n->tally, &b);
     nt_http_reply(c, 200, "text/plain; version=0.0.4", b.p, b.len);
     sr_buf_free(&b);
 }
--- a/control/peers.c
+++ b/control/peers.c
@@ -14,7 +14,7 @@
 {
     struct sr_buf b = {0};
     wr_encode(&b, m);
-    ty_out(&n->tally, m->type, b.len);
+    tf_count_out(&n->tally, m->type, b.len);
     nt_send(net, b.p, b.len);
     sr_buf_free(&b);
 }
@@ -304,7 +304,7 @@
         nt_close(net, true);
         return;
     }
-    ty_in(&c->node->tally, m.type, len);
+    tf_count_in(&c->node->tally, m.type, len);
     if (m.type == WR_HELLO) {
         on_hello(c, &m.hello);
     } else if (!c->greeted) {
--- a/control/tally.c
+++ b/control/traffic.c
@@ -1,4 +1,4 @@
-#include "control/tally.h"
+#include "control/traffic.h"
 
 static const char *const types[WR_TYPES] = {
     [WR_HELLO] = "hello",     [WR_QUORUM] = "quorum",     [WR_RENEW] = "renew",
@@ -7,76 +7,77 @@
     [WR_CHECKED] = "checked", [WR_PROBES] = "probes",     [WR_SUSPECT] = "suspect",
     [WR_NODES] = "nodes",     [WR_CONTROLS] = "controls",
 };
-static const char *const calls[TY_CALLS] = {"beat", "leave", "configure", "fetch"};
-static const char *const answers[TY_ANSWERS] = {"done", "elsewhere", "refused", "unable"};
-static const char *const probes[TY_PROBES] = {"opened", "asked", "answered", "closed"};
+static const char *const calls[TF_CALLS] = {"beat", "leave", "configure", "fetch"};
+static const char *const answers[TF_ANSWERS] = {"done", "elsewhere", "refused", "unable"};
+static const char *const probes[TF_PROBES] = {"opened", "asked", "answered", "closed"};
 
-static void add(struct ty_sum *s, size_t bytes)
+static void add(struct tf_sum *s, size_t bytes)
 {
     s->n++;
     s->bytes += bytes;
 }
 
-void ty_in(struct ty_tally *t, enum wr_type type, size_t bytes)
+void tf_count_in(struct tf_traffic *t, enum wr_type type, size_t bytes)
 {
     add(&t->all.in[type], bytes);
 }
 
-void ty_out(struct ty_tally *t, enum wr_type type, size_t bytes)
+void tf_count_out(struct tf_traffic *t, enum wr_type type, size_t bytes)
 {
     add(&t->all.out[type], bytes);
 }
 
-void ty_called(struct ty_tally *t, enum ty_call call, enum ty_answer answer)
+void tf_count_call(struct tf_traffic *t, enum tf_call call, enum tf_answer answer)
 {
     t->all.calls[call][answer]++;
 }
 
-void ty_probed(struct ty_tally *t, enum ty_probe what)
+void tf_count_probe(struct tf_traffic *t, enum tf_probe what)
 {
     t->all.probes[what]++;
 }
 
-static void report_messages(const char *way, const struct ty_sum *all,
-                            const struct ty_sum *told, struct sr_buf *out)
+static void report_messages(const char *way, const struct tf_sum *all,
+                            const struct tf_sum *reported, struct sr_buf *out)
 {
     for (int i = 0; i < WR_TYPES; i++) {
-        uint64_t n = all[i].n - told[i].n, bytes = all[i].bytes - told[i].bytes;
+        uint64_t n = all[i].n - reported[i].n, bytes = all[i].bytes - reported[i].bytes;
         if (n)
             sr_buf_printf(out, "%s%s.%s=%llu/%llu", out->len ? " " : "", way, types[i],
                           (unsigned long long)n, (unsigned long long)bytes);
     }
 }
 
-static void report_calls(const struct ty_counts *all, const struct ty_counts *told,
+static void report_calls(const struct tf_counts *all, const struct tf_counts *reported,
                          struct sr_buf *out)
 {
-    for (int c = 0; c < TY_CALLS; c++) {
-        uint64_t n[TY_ANSWERS], sum = 0;
-        for (int a = 0; a < TY_ANSWERS; a++)
-            sum += n[a] = all->calls[c][a] - told->calls[c][a];
+    for (int c = 0; c < TF_CALLS; c++) {
+        uint64_t n[TF_ANSWERS], sum = 0;
+        for (int a = 0; a < TF_ANSWERS; a++)
+            sum += n[a] = all->calls[c][a] - reported->calls[c][a];
         if (sum)
             sr_buf_printf(out, "%scall.%s=%llu/%llu/%llu/%llu", out->len ? " " : "", calls[c],
-                          (unsigned long long)n[TY_DONE], (unsigned long long)n[TY_ELSEWHERE],
-                          (unsigned long long)n[TY_REFUSED], (unsigned long long)n[TY_UNABLE]);
+                          (unsigned long long)n[TF_DONE], (unsigned long long)n[TF_REDIRECTED],
+                          (unsigned long long)n[TF_REFUSED],
+                          (unsigned long long)n[TF_UNAVAILABLE]);
     }
 }
 
-void ty_report(struct ty_tally *t, struct sr_buf *out)
+void tf_report(struct tf_traffic *t, struct sr_buf *out)
 {
-    report_messages("in", t->all.in, t->told.in, out);
-    report_messages("out", t->all.out, t->told.out, out);
-    report_calls(&t->all, &t->told, out);
-    for (int i = 0; i < TY_PROBES; i++) {
-        uint64_t n = t->all.probes[i] - t->told.probes[i];
+    report_messages("in", t->all.in, t->reported.in, out);
+    report_messages("out", t->all.out, t->reported.out, out);
+    report_calls(&t->all, &t->reported, out);
+    for (int i = 0; i < TF_PROBES; i++) {
+        uint64_t n = t->all.probes[i] - t->reported.probes[i];
         if (n)
             sr_buf_printf(out, "%sprobe.%s=%llu", out->len ? " " : "", probes[i],
                           (unsigned long long)n);
     }
-    t->told = t->all;
+    t->reported = t->all;
 }
 
-static void put_messages(const char *way, const struct ty_sum *all, struct sr_buf *out)
+static void put_messages(const char *way, const struct tf_sum *all, struct sr_buf *out)
 {
     for (int i = 0; i < WR_TYPES; i++) {
         if (!types[i])
@@ -89,16 +90,16 @@
     }
 }
 
-void ty_metrics(const struct ty_tally *t, struct sr_buf *out)
+void tf_metrics(const struct tf_traffic *t, struct sr_buf *out)
 {
     put_messages("in", t->all.in, out);
     put_messages("out", t->all.out, out);
-    for (int c = 0; c < TY_CALLS; c++) {
-        for (int a = 0; a < TY_ANSWERS; a++)
+    for (int c = 0; c < TF_CALLS; c++) {
+        for (int a = 0; a < TF_ANSWERS; a++)
             sr_buf_printf(out, "ferry_control_calls_total{call=\"%s\",answer=\"%s\"} %llu\n",
                           calls[c], answers[a], (unsigned long long)t->all.calls[c][a]);
     }
-    for (int i = 0; i < TY_PROBES; i++)
+    for (int i = 0; i < TF_PROBES; i++)
         sr_buf_printf(out, "ferry_control_probes_total{what=\"%s\"} %llu\n", probes[i],
                       (unsigned long long)t->all.probes[i]);
 }
--- a/control/watch.c
+++ b/control/watch.c
@@ -51,7 +51,7 @@
     q->id = ++in->last_id;
     if (!in->c || !in->open || !in->node->driver->send(in->c, q))
         return 0;
-    ty_probed(&in->node->tally, TY_ASKED);
+    tf_count_probe(&in->node->tally, TF_PROBE_SENT);
     return q->id;
 }
 
@@ -70,7 +70,7 @@
     struct ct_inst *in = ud;
     (void)c;
     in->open = true;
-    ty_probed(&in->node->tally, TY_OPENED);
+    tf_count_probe(&in->node->tally, TF_PROBE_OPENED);
     in->answered = ck_now();
     in->probed = 0;
     if (in->gone)
@@ -86,7 +86,7 @@
     struct ct_node *n = in->node;
     int64_t now = ck_now();
     (void)c;
-    ty_probed(&n->tally, TY_ANSWERED);
+    tf_count_probe(&n->tally, TF_PROBE_ANSWERED);
     in->answered = now;
     in->said = *r;
     in->said.value = SR_LIT("");
@@ -126,7 +126,7 @@
     (void)c;
     in->c = NULL;
     in->open = false;
-    ty_probed(&in->node->tally, TY_CLOSED);
+    tf_count_probe(&in->node->tally, TF_PROBE_CLOSED);
     in->fence_id = in->promote_id = 0;
     if (in->gone) {
         free(in);
--- a/tests/unit/test_push.c
+++ b/tests/unit/test_push.c
@@ -1,5 +1,5 @@
 /* Views on their way to 300 nodes over one link, and the heartbeats that share it. */
-#include "control/turn.h"
+#include "control/pending_view.h"
 #include "lease/lease.h"
 #include "misc/clock.h"
 #include "misc/pack.h"
@@ -181,7 +181,7 @@
     struct vp_pace p = {0};
     int lost = 0;
     for (int i = 0; i < LOSING; i++) { /* node i is the i-th of those in line */
-        struct tu_turn turn = {0};
+        struct pv_pending_view turn = {0};
         struct ls_holder h = {0};
         int64_t sent_at = 0, ahead = i, now = CK_SEC(1);
         bool live = true;
@@ -192,10 +192,10 @@
             vp_tick(&p, 0, BOUND_US, t);
             for (; ahead > 0 && vp_may(&p); ahead--)
                 vp_spent(&p, VIEW);
-            if (!sent_at && tu_take(&turn, &p, t))
+            if (!sent_at && pv_try_send(&turn, &p, t))
                 sent_at = t;
             bool has = sent_at && t >= sent_at + LATER_US;
-            bool older = !sent_at && kept && tu_keeps_lease(&turn, LEASE_US, t);
+            bool older = !sent_at && kept && pv_keeps_lease(&turn, LEASE_US, t);
             if (tick % RENEW_US == 0 && (has || older))
                 ls_granted(&h, ls_sent(&h, t), LEASE_US);
             live = ls_live(&h, t);
@@ -211,9 +211,9 @@
 {
     CU_ASSERT_EQUAL(leases_lost(true), 0);
     CU_ASSERT(leases_lost(false) > 0);
-    struct tu_turn t = {true, CK_SEC(1)};
+    struct pv_pending_view t = {true, CK_SEC(1)};
     CU_ASSERT_FALSE(
-        tu_keeps_lease(&t, CK_SEC(1), CK_SEC(2))); /* a node that is never reached */
+        pv_keeps_lease(&t, CK_SEC(1), CK_SEC(2))); /* a node that is never reached */
 }
 
 /* Views that `instances` coming evenly within `within_us` cost, and the longest that one of
--- a/tests/unit/test_tally.c
+++ b/tests/unit/test_traffic.c
@@ -1,5 +1,5 @@
 /* What a control node's time goes into, as an operator reads it. */
-#include "control/tally.h"
+#include "control/traffic.h"
 #include "tests/unit/unit.h"
 
 static bool has(const struct sr_buf *b, const char *what)
@@ -10,18 +10,18 @@
 /* A report tells what occurred since the one before it, and no kind that did not. */
 static void a_report_begins_anew(void)
 {
-    struct ty_tally t = {0};
+    struct tf_traffic t = {0};
     struct sr_buf b = {0};
-    ty_in(&t, WR_RENEW, 100);
-    ty_in(&t, WR_RENEW, 50);
-    ty_out(&t, WR_VIEW, 7);
-    ty_called(&t, TY_BEAT, TY_ELSEWHERE);
-    ty_probed(&t, TY_ASKED);
-    ty_report(&t, &b);
+    tf_count_in(&t, WR_RENEW, 100);
+    tf_count_in(&t, WR_RENEW, 50);
+    tf_count_out(&t, WR_VIEW, 7);
+    tf_count_call(&t, TF_HEARTBEAT, TF_REDIRECTED);
+    tf_count_probe(&t, TF_PROBE_SENT);
+    tf_report(&t, &b);
     CU_ASSERT_STRING_EQUAL(b.p, "in.renew=2/150 out.view=1/7 call.beat=0/1/0/0 probe.asked=1");
     b.len = 0;
-    ty_called(&t, TY_BEAT, TY_DONE);
-    ty_report(&t, &b);
+    tf_count_call(&t, TF_HEARTBEAT, TF_DONE);
+    tf_report(&t, &b);
     CU_ASSERT_STRING_EQUAL(b.p, "call.beat=1/0/0/0");
     sr_buf_free(&b);
 }
@@ -29,13 +29,13 @@
 /* Metrics count from the start, whatever was reported, and name all kinds. */
 static void metrics_go_on(void)
 {
-    struct ty_tally t = {0};
+    struct tf_traffic t = {0};
     struct sr_buf b = {0};
-    ty_out(&t, WR_CONTROLS, 30);
-    ty_report(&t, &b);
+    tf_count_out(&t, WR_CONTROLS, 30);
+    tf_report(&t, &b);
     b.len = 0;
-    ty_out(&t, WR_CONTROLS, 30);
-    ty_metrics(&t, &b);
+    tf_count_out(&t, WR_CONTROLS, 30);
+    tf_metrics(&t, &b);
     CU_ASSERT_TRUE(
         has(&b, "ferry_control_message_bytes_total{way=\"out\",kind=\"controls\"} 60\n"));
     CU_ASSERT_TRUE(has(&b, "ferry_control_messages_total{way=\"in\",kind=\"hello\"} 0\n"));
