--- a/control/control.c
+++ b/control/control.c
@@ -259,7 +259,7 @@
 }
 
 struct ct_node *ct_create(struct nt_loop *l, const struct st_settings *s, struct tl_ring *tl,
-                          const struct ct_interface *outside, bool bootstrap,
+                          const struct ct_platform_ops *outside, bool bootstrap,
                           void (*stopped)(void *, bool), void *ud, struct er_err *err)
 {
     struct ct_node *n = sr_alloc(sizeof(*n));
--- a/control/control.h
+++ b/control/control.h
@@ -33,7 +33,7 @@
 
 /* What an outside platform's interface brings; ferryd gives it to ct_create. Callbacks run on
  * the loop's thread. */
-struct ct_interface {
+struct ct_platform_ops {
     const struct ep_driver *endpoints;
     const struct cg_codec *documents;
     /* Whether the request was one of the platform's; it is answered then, now or later. */
@@ -172,7 +172,7 @@
     struct nt_loop *loop;
     struct tl_ring *tl;
     const struct ep_driver *driver;
-    const struct ct_interface *outside; /* NULL: our own interfaces only */
+    const struct ct_platform_ops *outside; /* NULL: our own interfaces only */
     const struct ct_steering *steering;
     struct cg_catalog catalog; /* what the document in force says */
     struct ct_order orders[CT_MAX_ORDERS];
@@ -245,7 +245,7 @@
 
 /* control.c */
 struct ct_node *ct_create(struct nt_loop *l, const struct st_settings *s, struct tl_ring *tl,
-                          const struct ct_interface *outside, bool bootstrap,
+                          const struct ct_platform_ops *outside, bool bootstrap,
                           void (*stopped)(void *ud, bool failed), void *ud, struct er_err *err);
 void ct_stop(struct ct_node *n);
 void ct_destroy(struct ct_node *n);
