--- a/control/control.h
+++ b/control/control.h
@@ -46,7 +46,7 @@
 
 /* How changes of primary are decided: promote/ (instances obey fences) or takeover/ (the
  * platform carries them out). `g`'s state is the steering's own. */
-struct ct_steering {
+struct ct_failover_ops {
     void (*begin)(struct ct_node *n, struct ct_group *g);
     /* What a vantage, a node by its id, sees of the instance; this node is one. */
     void (*probed)(struct ct_group *g, const char *inst, uint64_t vantage, const char *domain,
@@ -60,7 +60,7 @@
     bool (*busy)(const struct ct_group *g); /* something is under way */
 };
 
-extern const struct ct_steering ct_by_promote, ct_by_takeover;
+extern const struct ct_failover_ops ct_by_promote, ct_by_takeover;
 
 /* An outside request that waits for an entry of the log. */
 struct ct_order {
@@ -173,7 +173,7 @@
     struct tl_ring *tl;
     const struct ep_driver *driver;
     const struct ct_platform_ops *outside; /* NULL: our own interfaces only */
-    const struct ct_steering *steering;
+    const struct ct_failover_ops *steering;
     struct cg_catalog catalog; /* what the document in force says */
     struct ct_order orders[CT_MAX_ORDERS];
     struct ct_seq seqs[CT_MAX_SEQS];
--- a/control/promotions.c
+++ b/control/promotions.c
@@ -125,4 +125,5 @@
     return g->pr.step != PR_IDLE;
 }
 
-const struct ct_steering ct_by_promote = {begin, probed, said, reached, checked, decide, busy};
+const struct ct_failover_ops ct_by_promote = {begin,   probed, said, reached,
+                                              checked, decide, busy};
--- a/control/takeovers.c
+++ b/control/takeovers.c
@@ -136,4 +136,5 @@
         do_action(n, g, &acts.a[i]);
 }
 
-const struct ct_steering ct_by_takeover = {begin, probed, said, reached, checked, decide, busy};
+const struct ct_failover_ops ct_by_takeover = {begin,   probed, said, reached,
+                                               checked, decide, busy};
--- a/tests/unit/test_watch.c
+++ b/tests/unit/test_watch.c
@@ -49,7 +49,7 @@
 }
 
 static const struct ep_driver driver = {.open = opens, .close = closes};
-static const struct ct_steering steering = {.busy = is_busy};
+static const struct ct_failover_ops steering = {.busy = is_busy};
 static const struct ct_platform_ops outside;
 
 /* A control node that knows groups of three instances, each named by its number. */
