--- a/control/commit_wait.c
+++ b/control/commit_wait.c
@@ -7,7 +7,7 @@
 
 bool ct_may_answer(const struct ct_node *n, struct er_err *err)
 {
-    if (n->leading && ct_vouched(n))
+    if (n->leading && ct_quorum_confirmed(n))
         return true;
     const char *ip = ct_leader_ip(n);
     if (ip[0] && qr_role(n->q) != QR_LEADER)
@@ -26,7 +26,7 @@
     return "";
 }
 
-static void finish(struct ct_order *o, const struct er_err *err)
+static void finish(struct ct_commit_wait *o, const struct er_err *err)
 {
     struct nt_conn *c = o->conn;
     o->index = 0;
@@ -37,7 +37,7 @@
 
 static void on_close(struct nt_conn *c, void *ud, bool opened, bool refused)
 {
-    struct ct_order *o = ud;
+    struct ct_commit_wait *o = ud;
     (void)c;
     (void)opened;
     (void)refused;
@@ -46,26 +46,26 @@
 
 static const struct nt_ops closing = {NULL, NULL, on_close};
 
-void ct_await(struct ct_node *n, struct nt_conn *c, uint64_t index,
-              void (*done)(struct ct_node *, struct nt_conn *, const struct er_err *))
+void ct_await_commit(struct ct_node *n, struct nt_conn *c, uint64_t index,
+                     void (*done)(struct ct_node *, struct nt_conn *, const struct er_err *))
 {
-    for (int i = 0; i < CT_MAX_ORDERS; i++) {
-        struct ct_order *o = &n->orders[i];
+    for (int i = 0; i < CT_MAX_COMMIT_WAITS; i++) {
+        struct ct_commit_wait *o = &n->commit_waits[i];
         if (o->index)
             continue;
-        *o = (struct ct_order){n, c, index, qr_term(n->q), ck_now() + WAIT_US, done};
+        *o = (struct ct_commit_wait){n, c, index, qr_term(n->q), ck_now() + WAIT_US, done};
         nt_http_watch(c, &closing, o);
         return;
     }
     struct er_err err = {0};
-    er_set(&err, ER_OVERLOAD, "%d requests wait for the log", CT_MAX_ORDERS);
+    er_set(&err, ER_OVERLOAD, "%d requests wait for the log", CT_MAX_COMMIT_WAITS);
     done(n, c, &err);
 }
 
-void ct_orders_applied(struct ct_node *n, const struct qr_entry *e)
+void ct_commit_waits_applied(struct ct_node *n, const struct qr_entry *e)
 {
-    for (int i = 0; i < CT_MAX_ORDERS; i++) {
-        struct ct_order *o = &n->orders[i];
+    for (int i = 0; i < CT_MAX_COMMIT_WAITS; i++) {
+        struct ct_commit_wait *o = &n->commit_waits[i];
         struct er_err err = {0};
         if (!o->index || o->index > e->index)
             continue;
@@ -75,25 +75,25 @@
     }
 }
 
-static void give_up(struct ct_order *o, const char *why)
+static void give_up(struct ct_commit_wait *o, const char *why)
 {
     struct er_err err = {0};
     er_set(&err, ER_NO_QUORUM, "%s; it may be in force or not", why);
     finish(o, &err);
 }
 
-void ct_orders_lost(struct ct_node *n)
+void ct_commit_waits_abort(struct ct_node *n)
 {
-    for (int i = 0; i < CT_MAX_ORDERS; i++) {
-        if (n->orders[i].index)
-            give_up(&n->orders[i], "this node does not lead any more");
+    for (int i = 0; i < CT_MAX_COMMIT_WAITS; i++) {
+        if (n->commit_waits[i].index)
+            give_up(&n->commit_waits[i], "this node does not lead any more");
     }
 }
 
-void ct_orders_tick(struct ct_node *n, int64_t now)
+void ct_commit_waits_tick(struct ct_node *n, int64_t now)
 {
-    for (int i = 0; i < CT_MAX_ORDERS; i++) {
-        if (n->orders[i].index && now > n->orders[i].until)
-            give_up(&n->orders[i], "not committed in time");
+    for (int i = 0; i < CT_MAX_COMMIT_WAITS; i++) {
+        if (n->commit_waits[i].index && now > n->commit_waits[i].until)
+            give_up(&n->commit_waits[i], "not committed in time");
     }
 }
--- a/control/consensus.c
+++ b/control/consensus.c
@@ -30,24 +30,24 @@
 static void remember(struct ct_node *n, uint64_t index, enum vw_change_kind kind,
                      const char *text, uint32_t len)
 {
-    struct ct_past *p = &n->past[n->n_past % CT_HISTORY];
-    if (n->n_past >= CT_HISTORY)
-        n->past_floor = p->index;
+    struct ct_past_change *p = &n->history[n->n_history % CT_HISTORY_CHANGES];
+    if (n->n_history >= CT_HISTORY_CHANGES)
+        n->history_floor = p->index;
     free(p->text);
     p->text = strndup(text, len);
     p->index = index;
     p->document = kind == VW_CH_DOCUMENT;
-    n->n_past++;
+    n->n_history++;
 }
 
 static void forget_all(struct ct_node *n, uint64_t floor)
 {
-    for (int i = 0; i < CT_HISTORY; i++) {
-        free(n->past[i].text);
-        n->past[i] = (struct ct_past){0};
+    for (int i = 0; i < CT_HISTORY_CHANGES; i++) {
+        free(n->history[i].text);
+        n->history[i] = (struct ct_past_change){0};
     }
-    n->n_past = 0;
-    n->past_floor = floor;
+    n->n_history = 0;
+    n->history_floor = floor;
 }
 
 static char *whole_view(const struct ct_node *n)
@@ -61,20 +61,20 @@
 /* Number of the oldest change that is remembered; n->n_past if none is. */
 static uint64_t oldest_past(const struct ct_node *n)
 {
-    return n->n_past > CT_HISTORY ? n->n_past - CT_HISTORY : 0;
+    return n->n_history > CT_HISTORY_CHANGES ? n->n_history - CT_HISTORY_CHANGES : 0;
 }
 
-static const struct ct_past *past_at(const struct ct_node *n, uint64_t k)
+static const struct ct_past_change *past_at(const struct ct_node *n, uint64_t k)
 {
-    return &n->past[k % CT_HISTORY];
+    return &n->history[k % CT_HISTORY_CHANGES];
 }
 
 /* Index of the newest remembered change that is a document; 0 none. */
 static uint64_t newest_document(const struct ct_node *n)
 {
     uint64_t oldest = oldest_past(n);
-    for (uint64_t k = n->n_past; k > oldest; k--) {
-        const struct ct_past *p = past_at(n, k - 1);
+    for (uint64_t k = n->n_history; k > oldest; k--) {
+        const struct ct_past_change *p = past_at(n, k - 1);
         if (p->document)
             return p->index;
     }
@@ -83,7 +83,7 @@
 
 bool ct_needs_whole_view(const struct ct_node *n, uint64_t from)
 {
-    return from == 0 || from < n->past_floor;
+    return from == 0 || from < n->history_floor;
 }
 
 char *ct_changes_since(struct ct_node *n, uint64_t from, uint64_t *from_out)
@@ -94,12 +94,12 @@
         return whole_view(n);
     }
     struct sr_buf b = {0};
-    uint64_t oldest = oldest_past(n), newest = newest_document(n), k = n->n_past;
+    uint64_t oldest = oldest_past(n), newest = newest_document(n), k = n->n_history;
     while (k > oldest && past_at(n, k - 1)->index > from)
         k--;
     sr_buf_add(&b, "[", 1);
-    for (; k < n->n_past; k++) {
-        const struct ct_past *p = past_at(n, k);
+    for (; k < n->n_history; k++) {
+        const struct ct_past_change *p = past_at(n, k);
         if (p->document && p->index < newest)
             continue; /* a document replaces the one before as a whole */
         sr_buf_printf(&b, "%s[%llu,%s]", b.len > 1 ? "," : "", (unsigned long long)p->index,
@@ -150,23 +150,23 @@
         FL_ERR(&n->log, "entry %llu is no change: %s", (unsigned long long)index, err.text);
         goto done;
     }
-    n->c.applied++;
+    n->counters.applied++;
     n->applied_bytes += text.len;
     if (vw_apply(&n->view, index, &ch, &err)) {
         remember(n, index, ch.kind, text.p, (uint32_t)text.len);
         note_change(n, &ch);
-        n->document_due = n->document_due || ch.kind == VW_CH_DOCUMENT;
+        n->document_pending = n->document_pending || ch.kind == VW_CH_DOCUMENT;
         ct_group_sync(n, ch.kind == VW_CH_GROUP ? ch.def.name : ch.group);
         if (n->leading) {
-            if (!n->force_gen) {
-                n->force_gen = index;
-                n->force_since = ck_now();
+            if (!n->measured_generation) {
+                n->measured_generation = index;
+                n->measured_since = ck_now();
             }
             ct_view_changed(n, ch.kind);
-            ct_groups_soon(n);
+            ct_schedule_group_ticks(n);
         }
     } else {
-        n->c.refused_changes++;
+        n->counters.refused_changes++;
         FL_VERBOSE(&n->log, "change %llu (%s) does not fit: %s", (unsigned long long)index,
                    vw_change_name(ch.kind), err.text);
     }
@@ -185,7 +185,7 @@
         const struct qr_members *m = (const struct qr_members *)e->data;
         tl_add(n->tl, TL_MEMBERS, "", e->term, "%u members", m->n);
     }
-    ct_orders_applied(n, e);
+    ct_commit_waits_applied(n, e);
 }
 
 void ct_restore_view(struct ct_node *n, const char *data, uint32_t len)
@@ -206,7 +206,7 @@
     ct_restore_view(n, data, len);
     forget_all(n, n->view.generation);
     n->applied_bytes = 0;
-    ct_document_changed(n);
+    ct_load_document(n);
     ct_groups_sync(n);
     FL_INFO(&n->log, "restored from a snapshot up to %llu", (unsigned long long)index);
 }
@@ -220,7 +220,7 @@
     n->was_leader = leads;
     n->leading = false; /* until a quorum vouches and this term's first entry is applied */
     if (!leads)
-        ct_orders_lost(n);
+        ct_commit_waits_abort(n);
     tl_add(n->tl, leads ? TL_LEADER : TL_DEPOSED, "", qr_term(n->q),
            leads ? "elected in term %llu" : "no longer leads, term %llu",
            (unsigned long long)qr_term(n->q));
@@ -228,21 +228,21 @@
             (unsigned long long)qr_term(n->q));
 }
 
-const struct qr_sink ct_sink = {on_send, on_persist, on_apply, on_restore, on_role};
+const struct qr_sink ct_quorum_sink = {on_send, on_persist, on_apply, on_restore, on_role};
 
 /* ---- proposing ---- */
 
 bool ct_propose(struct ct_node *n, const struct vw_change *ch, uint64_t *index,
                 struct er_err *err)
 {
-    if (!ct_vouched(n))
+    if (!ct_quorum_confirmed(n))
         return er_set(err, qr_role(n->q) == QR_LEADER ? ER_NO_QUORUM : ER_NOT_LEADER,
                       "this node can't change the configuration now");
-    return ct_propose_unvouched(n, ch, index, err);
+    return ct_propose_unconfirmed(n, ch, index, err);
 }
 
-bool ct_propose_unvouched(struct ct_node *n, const struct vw_change *ch, uint64_t *index,
-                          struct er_err *err)
+bool ct_propose_unconfirmed(struct ct_node *n, const struct vw_change *ch, uint64_t *index,
+                            struct er_err *err)
 {
     uint64_t at;
     if (!vw_check(&n->view, ch, err))
@@ -264,7 +264,7 @@
               qr_propose(n->q, packed.p, (uint32_t)packed.len, ck_now(), &at, err);
     sr_buf_free(&packed);
     free(s);
-    n->c.proposals += ok;
+    n->counters.proposals += ok;
     if (ok && index)
         *index = at;
     return ok;
--- a/control/control.c
+++ b/control/control.c
@@ -15,14 +15,14 @@
     OUTSIDE_FORGET_US = 3000000,
 };
 
-bool ct_vouched(const struct ct_node *n)
+bool ct_quorum_confirmed(const struct ct_node *n)
 {
-    return !n->failed && ck_now() < qr_vouched_until(n->q);
+    return !n->disk_failed && ck_now() < qr_vouched_until(n->q);
 }
 
 bool ct_in_force(const struct ct_node *n, uint64_t generation)
 {
-    return ls_all_have(&n->giver, generation, ck_now());
+    return ls_all_have(&n->leases, generation, ck_now());
 }
 
 const char *ct_member_name(const struct ct_node *n, uint64_t id)
@@ -54,29 +54,29 @@
 {
     bool first = n->view.generation == 0;
     n->leading = true;
-    n->leading_since = n->joined_at = now;
+    n->leading_since = n->node_joined_at = now;
     n->step_index = 0;
-    n->force_gen = 0;
+    n->measured_generation = 0;
     n->in_force_since = 0;
-    n->news = (struct vp_news){0};
+    n->unsent_changes = (struct vp_news){0};
     n->pace = (struct vp_pace){0};
     vp_tick(&n->pace, 0, 0, now);
-    ls_giver_begin(&n->giver, CK_MS(n->s->lease_ms), now, first);
+    ls_giver_begin(&n->leases, CK_MS(n->s->lease_ms), now, first);
     /* Instances that count their connections themselves refuse one too many, at the cost of a
      * try: a new leader need not wait for its predecessor's shares. */
-    bool waits = !first && !n->outside;
+    bool waits = !first && !n->platform;
     sh_begin(&n->shares, waits ? now + CK_MS(n->s->lease_ms) * 11 / 10 : now);
     ct_limits_begin(n, first, now);
-    n->shares.forget_us = n->outside ? OUTSIDE_FORGET_US : 0;
+    n->shares.forget_us = n->platform ? OUTSIDE_FORGET_US : 0;
     ct_watch_begin(n);
     ct_groups_sync(n);
     for (struct ct_conn *c = n->conns; c; c = c->next) {
-        c->sent_gen = 0;
-        c->shares_told = false;
-        c->knows_permits = false;
-        c->nodes_known = false;
-        c->turn = (struct pv_pending_view){0};
-        ct_say_leading(c);
+        c->sent_generation = 0;
+        c->shares_sent = false;
+        c->reported_permits = false;
+        c->reported_nodes = false;
+        c->pending_view = (struct pv_pending_view){0};
+        ct_announce_leader(c);
     }
     FL_INFO(&n->log, "a quorum vouches for term %llu, generation %llu",
             (unsigned long long)qr_term(n->q), (unsigned long long)n->view.generation);
@@ -86,10 +86,10 @@
 
 static void force_tick(struct ct_node *n, int64_t now)
 {
-    if (!n->leading || !n->force_gen || !ct_in_force(n, n->force_gen))
+    if (!n->leading || !n->measured_generation || !ct_in_force(n, n->measured_generation))
         return;
-    hi_add(&n->force, now - n->force_since);
-    n->force_gen = 0;
+    hi_add(&n->time_to_force, now - n->measured_since);
+    n->measured_generation = 0;
 }
 
 /* ---- time, disk, stopping ---- */
@@ -123,10 +123,10 @@
 {
     struct ct_node *n = ud;
     struct er_err err = {0};
-    if (n->failed)
+    if (n->disk_failed)
         return;
     if (dk_failed(n->disk, &err)) {
-        n->failed = true;
+        n->disk_failed = true;
         tl_add(n->tl, TL_DISK, "", 0, "%.100s", err.text);
         FL_FATAL(&n->log,
                  "%s; this voter stops: free or replace the disk, then start it again (its "
@@ -150,12 +150,12 @@
     struct ct_node *n = ud;
     int64_t now = ck_now();
     on_disk(n);
-    if (n->failed)
+    if (n->disk_failed)
         return;
     qr_tick(n->q, now, nt_heard_until(n->loop));
-    if (n->document_due)
-        ct_document_changed(n);
-    if (!n->leading && ct_vouched(n))
+    if (n->document_pending)
+        ct_load_document(n);
+    if (!n->leading && ct_quorum_confirmed(n))
         begin(n, now);
     ct_peers_tick(n, now);
     ct_watch_tick(n, now);
@@ -164,9 +164,9 @@
     ct_intents_tick(n, now);
     ct_platform_tick(n, now);
     ct_members_tick(n, now);
-    ct_orders_tick(n, now);
+    ct_commit_waits_tick(n, now);
     ct_ops_tick(n, now);
-    ct_tell_traffic(n, now);
+    ct_log_traffic(n, now);
     ct_compact_tick(n);
     if (n->stopping && (qr_role(n->q) != QR_LEADER || now > n->stop_by)) {
         end(n, false);
@@ -247,7 +247,7 @@
     }
     if (bootstrap && disk->fresh)
         first_members(s, &disk->restore.members);
-    return ct_founders(n, bootstrap && disk->fresh, &disk->restore.members, err);
+    return ct_initial_voters(n, bootstrap && disk->fresh, &disk->restore.members, err);
 }
 
 static void restore_view(struct ct_node *n, const struct so_loaded *disk)
@@ -255,11 +255,11 @@
     if (!disk->restore.snap_len)
         return;
     ct_restore_view(n, disk->restore.snap, disk->restore.snap_len);
-    n->past_floor = n->view.generation;
+    n->history_floor = n->view.generation;
 }
 
 struct ct_node *ct_create(struct nt_loop *l, const struct st_settings *s, struct tl_ring *tl,
-                          const struct ct_platform_ops *outside, bool bootstrap,
+                          const struct ct_platform_ops *platform, bool bootstrap,
                           void (*stopped)(void *, bool), void *ud, struct er_err *err)
 {
     struct ct_node *n = sr_alloc(sizeof(*n));
@@ -268,9 +268,9 @@
     n->s = s;
     n->loop = l;
     n->tl = tl;
-    n->outside = outside;
-    n->driver = outside ? outside->endpoints : &ep_ws;
-    n->steering = outside ? &ct_by_takeover : &ct_by_promote;
+    n->platform = platform;
+    n->driver = platform ? platform->endpoints : &ep_ws;
+    n->failover = platform ? &ct_failover_takeover : &ct_failover_promote;
     n->stopped = stopped;
     n->stopped_ud = ud;
     vw_init(&n->view);
@@ -285,12 +285,12 @@
     struct qr_config cfg = {.self = n->id,
                             .election_us = CK_MS(s->election_ms),
                             .heartbeat_us = CK_MS(s->heartbeat_ms),
-                            .sink = &ct_sink,
+                            .sink = &ct_quorum_sink,
                             .ud = n};
     randombytes_buf(&cfg.seed, sizeof(cfg.seed));
     n->q = qr_create(&cfg, &disk.restore, ck_now());
     so_release(n->store);
-    ct_document_changed(n);
+    ct_load_document(n);
     ct_groups_sync(n);
     tl_add(tl, TL_START, "", qr_term(n->q), "control node %llx", (unsigned long long)n->id);
     nt_timer_set(l, &n->tick, TICK_US, tick, n);
--- a/control/control.h
+++ b/control/control.h
@@ -26,7 +26,7 @@
 #include "view/view.h"
 #include "wire/wire.h"
 
-enum { CT_HISTORY = 4096, CT_MAX_CONNS = 2048, CT_MAX_WAITING = 64 };
+enum { CT_HISTORY_CHANGES = 4096, CT_MAX_CONNS = 2048, CT_MAX_OPERATOR_REQUESTS = 64 };
 
 struct ct_node;
 struct ct_group;
@@ -51,19 +51,19 @@
     /* What a vantage, a node by its id, sees of the instance; this node is one. */
     void (*probed)(struct ct_group *g, const char *inst, uint64_t vantage, const char *domain,
                    enum pr_health health);
-    void (*said)(struct ct_group *g, const char *inst, const struct ep_reply *r);
+    void (*replied)(struct ct_group *g, const char *inst, const struct ep_reply *r);
     /* A connection to the instance is open again. */
-    void (*reached)(struct ct_group *g, const char *inst);
+    void (*connected)(struct ct_group *g, const char *inst);
     void (*checked)(struct ct_group *g, uint64_t nonce, enum pr_health health);
     /* Decide and act. */
     void (*tick)(struct ct_node *n, struct ct_group *g);
     bool (*busy)(const struct ct_group *g); /* something is under way */
 };
 
-extern const struct ct_failover_ops ct_by_promote, ct_by_takeover;
+extern const struct ct_failover_ops ct_failover_promote, ct_failover_takeover;
 
 /* An outside request that waits for an entry of the log. */
-struct ct_order {
+struct ct_commit_wait {
     struct ct_node *node;
     struct nt_conn *conn; /* NULL: the caller went away; the entry stands all the same */
     uint64_t index, term; /* 0: free */
@@ -72,23 +72,23 @@
     void (*done)(struct ct_node *n, struct nt_conn *c, const struct er_err *err);
 };
 
-enum { CT_MAX_ORDERS = 64, CT_MAX_SEQS = 4096 };
+enum { CT_MAX_COMMIT_WAITS = 64, CT_MAX_LAST_CALLS = 4096 };
 
 /* The newest call of an instance that registers itself. */
-struct ct_seq {
+struct ct_last_call {
     char id[VW_NAME];
     struct rg_last last;
 };
 
 /* A change as it was committed, for nodes that missed some. */
-struct ct_past {
+struct ct_past_change {
     uint64_t index;
     bool document; /* it is a VW_CH_DOCUMENT */
     char *text;
 };
 
 /* An encoded WR_VIEW or WR_NODES, kept for the next node that lacks the same. */
-struct ct_frame {
+struct ct_cached_frame {
     uint64_t from, to; /* generations, or hashes of lists */
     struct sr_buf bytes;
 };
@@ -104,28 +104,28 @@
     char name[48], domain[48], ip[46];
     int port;
     int carries;                 /* entry: statements a second, as it says; 0: not told */
-    int http;                    /* entry: port of its own pages; 0: not told */
-    uint64_t told_controls;      /* hash of the list of control nodes it was told */
-    uint64_t sent_gen;           /* entry: generation sent last */
-    int64_t sent_at;             /* when */
-    struct pv_pending_view turn; /* a view was held back */
-    bool knows_permits;          /* entry: it has told what permits it has */
-    bool shares_told;    /* the node knows all its shares but for those that changed since */
-    uint64_t nodes_hash; /* entry: the list of nodes it has, or was sent last */
-    int64_t nodes_sent;  /* when; 0: it has told which it has, if nodes_known */
-    bool nodes_known;    /* it renewed its lease with this leader */
-    bool leaving;        /* entry: it stops soon, and is not listed any more */
+    int http_port;               /* entry: port of its own pages; 0: not told */
+    uint64_t sent_controls_hash; /* hash of the list of control nodes it was told */
+    uint64_t sent_generation;    /* entry: generation sent last */
+    int64_t view_sent_at;        /* when */
+    struct pv_pending_view pending_view; /* a view was held back */
+    bool reported_permits;               /* entry: it has told what permits it has */
+    bool shares_sent;      /* the node knows all its shares but for those that changed since */
+    uint64_t nodes_hash;   /* entry: the list of nodes it has, or was sent last */
+    int64_t nodes_sent_at; /* when; 0: it has told which it has, if nodes_known */
+    bool reported_nodes;   /* it renewed its lease with this leader */
+    bool leaving;          /* entry: it stops soon, and is not listed any more */
 };
 
 /* Our connection to another control node; everything we send it goes here. */
 struct ct_peer {
     struct ct_peer *next;
     struct ct_node *node;
-    struct qr_member m; /* id 0: an address only; who answers there greets us itself */
+    struct qr_member member; /* id 0: an address only; who answers there greets us itself */
     struct nt_conn *net;
     bool open, wanted;
-    struct rd_line line;
-    int64_t began; /* when it was heard of, or open last */
+    struct rd_line redial;
+    int64_t active_at; /* when it was heard of, or open last */
 };
 
 /* A probed instance. */
@@ -135,32 +135,32 @@
     char id[VW_NAME], ip[46];
     int port;
     int64_t born;
-    struct ep_conn *c;
-    bool open, gone;
-    int64_t next_try, answered, probed, opening;
-    int64_t changed; /* when `health` changed */
+    struct ep_conn *conn;
+    bool open, removed;
+    int64_t next_connect, replied_at, probed_at, connecting_since;
+    int64_t health_changed_at; /* when `health` changed */
     enum pr_health health;
-    uint64_t last_id;
-    struct ep_reply said; /* strings not valid */
+    uint64_t last_request_id;
+    struct ep_reply status; /* strings not valid */
     /* requests out, by operation: their id, 0 none */
     uint64_t fence_id, promote_id, fence_term, promote_term;
 };
 
 struct ct_group {
     char name[VW_NAME];
-    struct pr_group pr; /* of ct_by_promote */
-    struct tk_group tk; /* of ct_by_takeover */
+    struct pr_group pr; /* of ct_failover_promote */
+    struct tk_group tk; /* of ct_failover_takeover */
     int n;
     struct ct_inst *inst[VW_MAX_INSTANCES];
-    uint64_t phase_gen; /* generation that began the group's phase */
+    uint64_t phase_generation; /* generation that began the group's phase */
     enum vw_phase phase;
     uint64_t term;
-    int primary; /* index in `inst`; -1 none */
-    bool due;    /* to be ticked in the loop's next turn */
+    int primary;   /* index in `inst`; -1 none */
+    bool tick_due; /* to be ticked in the loop's next turn */
 };
 
 /* An operator's HTTP request that waits for its entry to be committed. */
-struct ct_waiting {
+struct ct_operator_request {
     struct nt_conn *conn; /* NULL: free */
     char id[VW_NAME];
     int64_t until;
@@ -172,65 +172,65 @@
     struct nt_loop *loop;
     struct tl_ring *tl;
     const struct ep_driver *driver;
-    const struct ct_platform_ops *outside; /* NULL: our own interfaces only */
-    const struct ct_failover_ops *steering;
+    const struct ct_platform_ops *platform; /* NULL: our own interfaces only */
+    const struct ct_failover_ops *failover;
     struct cg_catalog catalog; /* what the document in force says */
-    struct ct_order orders[CT_MAX_ORDERS];
-    struct ct_seq seqs[CT_MAX_SEQS];
-    struct ix_index seq_at;
-    int n_seqs;
-    int64_t next_member_step;
+    struct ct_commit_wait commit_waits[CT_MAX_COMMIT_WAITS];
+    struct ct_last_call last_calls[CT_MAX_LAST_CALLS];
+    struct ix_index last_call_index;
+    int n_last_calls;
+    int64_t next_member_tick;
     struct so_store *store;
     struct dk_disk *disk;
     uint64_t id;
     struct qr *q;
     struct vw_view view;
-    struct ct_past past[CT_HISTORY]; /* ring by number of change */
-    uint64_t n_past;
-    uint64_t past_floor; /* changes at and below are not in the ring */
+    struct ct_past_change history[CT_HISTORY_CHANGES]; /* ring by number of change */
+    uint64_t n_history;
+    uint64_t history_floor; /* changes at and below are not in the ring */
     struct ct_conn *conns;
     int n_conns;
     struct ct_peer *peers;
     struct nt_listener *peer_listener, *ops_listener;
     struct nl_book nodes; /* entry nodes with a lease, as of nodes_at */
-    int64_t nodes_at;
+    int64_t nodes_built_at;
     struct wr_decoder dec;
     struct nt_timer tick, soon;
     int n_groups, n_insts;
     struct ct_group **groups;
-    struct ix_index group_at, inst_at; /* number in `groups` by group, by instance */
+    struct ix_index group_index, inst_index; /* number in `groups` by group, by instance */
     unsigned ticks;
-    int watch_next;      /* group that the next tick begins with; -1: the first */
-    int lines_left;      /* connections to instances that this tick may make or close */
-    struct vp_news news; /* instances that came or go, not told to entry nodes yet */
-    struct vp_pace pace; /* of views to entry nodes; a new leader begins anew */
-    struct ct_frame changes_frame, whole_frame; /* of the view, as sent last */
-    struct ct_frame nodes_changes, nodes_whole; /* of the list of nodes */
+    int next_group;        /* group that the next tick begins with; -1: the first */
+    int conn_changes_left; /* connections to instances that this tick may make or close */
+    struct vp_news unsent_changes; /* instances that came or go, not told to entry nodes yet */
+    struct vp_pace pace;           /* of views to entry nodes; a new leader begins anew */
+    struct ct_cached_frame changes_frame, whole_frame; /* of the view, as sent last */
+    struct ct_cached_frame nodes_changes, nodes_whole; /* of the list of nodes */
     /* leading */
     bool leading; /* a quorum vouched and this term's first entry is applied */
     int64_t leading_since;
-    int64_t joined_at; /* a node got its first lease of this leader */
-    struct ls_giver giver;
+    int64_t node_joined_at; /* a node got its first lease of this leader */
+    struct ls_giver leases;
     struct sh_table shares;
     uint64_t shares_seq;    /* of the last WR_SHARES sent to anybody */
     struct lm_giver limits; /* of client accounts */
     uint64_t step_index;    /* log index of the last step proposed for an intent */
     int64_t in_force_since; /* all entry nodes act on the current view since; 0: not */
-    int64_t next_probe_report, next_intent, next_platform, next_complaint;
-    bool asking_platform;
-    uint64_t force_gen; /* change whose time to force is being measured */
-    int64_t force_since;
-    struct hi_hist force;
-    struct ct_waiting waiting[CT_MAX_WAITING];
+    int64_t next_probe_report, next_intent, next_platform_poll, next_drain_warning;
+    bool platform_polled;
+    uint64_t measured_generation; /* change whose time to force is being measured */
+    int64_t measured_since;
+    struct hi_hist time_to_force;
+    struct ct_operator_request operator_requests[CT_MAX_OPERATOR_REQUESTS];
     bool was_leader;
-    bool failed;             /* the disk failed */
+    bool disk_failed;        /* the disk failed */
     uint64_t applied_bytes;  /* of changes, since the last snapshot */
     uint64_t snapshot_bytes; /* of the last snapshot */
-    bool document_due;       /* ct_document_changed is to be called */
+    bool document_pending;   /* ct_load_document is to be called */
     bool disk_full;          /* writes wait for room */
-    struct tf_traffic tally;
-    int64_t tally_told_at;
-    struct nt_counters net_told;    /* at the last report */
+    struct tf_traffic traffic;
+    int64_t traffic_logged_at;
+    struct nt_counters logged_net;  /* at the last report */
     struct nt_traffic peer_traffic; /* on connections to other control nodes made here */
     bool stopping;
     int64_t stop_by;
@@ -240,28 +240,28 @@
         uint64_t grants, refused_grants, views, view_bytes, snapshots, node_lists,
             node_list_bytes, proposals, applied;
         uint64_t refused_changes, promotions, bad_messages, wrong_cluster, platform_failures;
-    } c;
+    } counters;
 };
 
 /* control.c */
 struct ct_node *ct_create(struct nt_loop *l, const struct st_settings *s, struct tl_ring *tl,
-                          const struct ct_platform_ops *outside, bool bootstrap,
+                          const struct ct_platform_ops *platform, bool bootstrap,
                           void (*stopped)(void *ud, bool failed), void *ud, struct er_err *err);
 void ct_stop(struct ct_node *n);
 void ct_destroy(struct ct_node *n);
 /* Whether this node leads and a quorum vouches for it now. */
-bool ct_vouched(const struct ct_node *n);
+bool ct_quorum_confirmed(const struct ct_node *n);
 bool ct_in_force(const struct ct_node *n, uint64_t generation);
 const char *ct_member_name(const struct ct_node *n, uint64_t id);
 
 /* consensus.c */
-extern const struct qr_sink ct_sink;
+extern const struct qr_sink ct_quorum_sink;
 bool ct_propose(struct ct_node *n, const struct vw_change *ch, uint64_t *index,
                 struct er_err *err);
 /* The same for what was asked while a quorum vouched, which may have run out since: nothing is
  * promised until it is committed. */
-bool ct_propose_unvouched(struct ct_node *n, const struct vw_change *ch, uint64_t *index,
-                          struct er_err *err);
+bool ct_propose_unconfirmed(struct ct_node *n, const struct vw_change *ch, uint64_t *index,
+                            struct er_err *err);
 void ct_compact_tick(struct ct_node *n);
 /* The view is what the snapshot says. */
 void ct_restore_view(struct ct_node *n, const char *data, uint32_t len);
@@ -278,14 +278,14 @@
 void ct_send_conn(struct ct_conn *c, const struct wr_msg *m);
 
 /* nodes.c: entry nodes, and observers */
-void ct_renewed(struct ct_conn *c, const struct wr_renew *r);
+void ct_on_renew(struct ct_conn *c, const struct wr_renew *r);
 /* This node leads now: entry nodes need not look for it. */
-void ct_say_leading(struct ct_conn *c);
+void ct_announce_leader(struct ct_conn *c);
 void ct_push_view(struct ct_node *n);
 /* A change was applied: entry nodes are told now, or with others of its kind. */
 void ct_view_changed(struct ct_node *n, enum vw_change_kind kind);
 /* Ask all entry nodes whether the instance answers them; how many were asked. */
-int ct_check_nodes(struct ct_node *n, uint64_t nonce, const char *inst);
+int ct_request_checks(struct ct_node *n, uint64_t nonce, const char *inst);
 
 /* limits.c: limits of client accounts */
 /* This node leads now. `first`: nobody led before. */
@@ -293,8 +293,8 @@
 /* Accounts and limits are as the document in force says. */
 void ct_limits_changed(struct ct_node *n);
 /* Take what a renewal asks, and answer in message `seq`; `out` has room for all. */
-uint32_t ct_limits_asked(struct ct_node *n, uint64_t node, const struct wr_renew *r,
-                         uint64_t seq, struct wr_permit *out);
+uint32_t ct_limits_on_renew(struct ct_node *n, uint64_t node, const struct wr_renew *r,
+                            uint64_t seq, struct wr_permit *out);
 
 /* watch.c: instances and promotions */
 void ct_groups_sync(struct ct_node *n);
@@ -302,22 +302,23 @@
 void ct_group_sync(struct ct_node *n, const char *name);
 void ct_watch_begin(struct ct_node *n);
 void ct_watch_tick(struct ct_node *n, int64_t now);
-void ct_probes(struct ct_conn *c, const struct wr_probes *p);
-void ct_checked(struct ct_node *n, const struct wr_check *c);
-void ct_suspected(struct ct_conn *c, const struct wr_check *m);
+void ct_on_probes(struct ct_conn *c, const struct wr_probes *p);
+void ct_on_check_reply(struct ct_node *n, const struct wr_check *c);
+void ct_on_suspect(struct ct_conn *c, const struct wr_check *m);
 /* Send one operation; its number, 0 if it could not be sent. */
 uint64_t ct_send_op(struct ct_inst *in, struct ep_request *q);
 void ct_probe(struct ct_inst *in, int64_t now);
 struct ct_group *ct_group_of(struct ct_node *n, const char *name);
-bool ct_caught_up(void *ud, const char *group, const char *inst);
+bool ct_replica_caught_up(void *ud, const char *group, const char *inst);
 
 /* failover.c */
 /* Propose a change that a group's steering wants, for its instance of that index; -1: none. */
-void ct_steer(struct ct_node *n, const struct ct_group *g, int inst, struct vw_change *ch);
+void ct_propose_for_group(struct ct_node *n, const struct ct_group *g, int inst,
+                          struct vw_change *ch);
 void ct_group_tick(struct ct_node *n, struct ct_group *g);
 /* Tick the groups that changed in the loop's next turn: safe from within the core's callbacks.
  */
-void ct_groups_soon(struct ct_node *n);
+void ct_schedule_group_ticks(struct ct_node *n);
 
 /* intents.c */
 void ct_intents_tick(struct ct_node *n, int64_t now);
@@ -327,12 +328,13 @@
 
 /* commit_wait.c: outside requests that wait for the log */
 /* `done` is called once the entry at `index`, just proposed, is committed or given up. */
-void ct_await(struct ct_node *n, struct nt_conn *c, uint64_t index,
-              void (*done)(struct ct_node *n, struct nt_conn *c, const struct er_err *err));
-void ct_orders_applied(struct ct_node *n, const struct qr_entry *e);
+void ct_await_commit(struct ct_node *n, struct nt_conn *c, uint64_t index,
+                     void (*done)(struct ct_node *n, struct nt_conn *c,
+                                  const struct er_err *err));
+void ct_commit_waits_applied(struct ct_node *n, const struct qr_entry *e);
 /* This node stopped leading: what was not committed under it may or may not be. */
-void ct_orders_lost(struct ct_node *n);
-void ct_orders_tick(struct ct_node *n, int64_t now);
+void ct_commit_waits_abort(struct ct_node *n);
+void ct_commit_waits_tick(struct ct_node *n, int64_t now);
 /* Whether this node may answer for the newest state. False with *err (ER_NOT_LEADER: another
  * may, ct_leader_ip names it; ER_NO_QUORUM: nobody is known to). */
 bool ct_may_answer(const struct ct_node *n, struct er_err *err);
@@ -356,7 +358,7 @@
 bool ct_document(const struct ct_node *n, struct sr_str *text, struct er_err *err);
 /* Read the view's document. A restart applies hundreds of entries at once and each document
  * replaces the one before, so this is done once for all that were applied together. */
-void ct_document_changed(struct ct_node *n);
+void ct_load_document(struct ct_node *n);
 
 /* members.c: voters are added and replaced without an operator */
 void ct_members_tick(struct ct_node *n, int64_t now);
@@ -364,14 +366,14 @@
  * known some 100 ms sooner than by their next renewals. */
 void ct_nodes_tick(struct ct_node *n, int64_t now);
 /* Tell whoever is connected where the control nodes are, if that is news. */
-void ct_tell_controls(struct ct_conn *c);
+void ct_send_controls(struct ct_conn *c);
 
 /* initial_voters.c: the first voters, as they were when the cluster was made */
-bool ct_founders(struct ct_node *n, bool found, struct qr_members *m, struct er_err *err);
+bool ct_initial_voters(struct ct_node *n, bool found, struct qr_members *m, struct er_err *err);
 
 /* ops.c */
 /* Log what links and calls were used for, now and then. */
-void ct_tell_traffic(struct ct_node *n, int64_t now);
+void ct_log_traffic(struct ct_node *n, int64_t now);
 bool ct_ops_listen(struct ct_node *n, struct er_err *err);
 /* A change was applied, or refused with `err`: answer who waits for it. */
 void ct_ops_applied(struct ct_node *n, const struct vw_change *ch, const struct er_err *err);
--- a/control/documents.c
+++ b/control/documents.c
@@ -25,7 +25,7 @@
     bool may_answer = ct_may_answer(n, &why);
     qr_beat(n->q, ck_now());
     /* Not valid here is not valid anywhere: no leader is needed to say so. */
-    if (!cg_read(n->outside->documents, text, &cat, err)) {
+    if (!cg_read(n->platform->documents, text, &cat, err)) {
         FL_EVENT(&n->log, LG_INFO, "document_refused", "detail=%s", err->text);
         return false;
     }
@@ -40,9 +40,9 @@
     if (voters(n) < mb_needed(n->s->tolerates))
         return er_set(err, ER_NO_QUORUM, "%d voters, expected %d before anything is promised",
                       voters(n), mb_needed(n->s->tolerates));
-    if (!ct_propose_unvouched(n, &ch, &index, err))
+    if (!ct_propose_unconfirmed(n, &ch, &index, err))
         return false;
-    ct_await(n, c, index, done);
+    ct_await_commit(n, c, index, done);
     return false;
 }
 
@@ -56,16 +56,16 @@
     return true;
 }
 
-void ct_document_changed(struct ct_node *n)
+void ct_load_document(struct ct_node *n)
 {
     struct cg_catalog cat;
     struct er_err err = {0};
-    n->document_due = false;
-    if (!n->outside || n->view.doc.version == n->catalog.version)
+    n->document_pending = false;
+    if (!n->platform || n->view.doc.version == n->catalog.version)
         return;
     struct sr_str text = {n->view.doc.text, n->view.doc.len};
     qr_beat(n->q, ck_now());
-    if (!cg_read(n->outside->documents, text, &cat, &err)) {
+    if (!cg_read(n->platform->documents, text, &cat, &err)) {
         FL_ERR(&n->log, "document %llu is in the log but can't be read: %s",
                (unsigned long long)n->view.doc.version, err.text);
         return;
--- a/control/failover.c
+++ b/control/failover.c
@@ -2,7 +2,8 @@
  * proposed. */
 #include "control/control.h"
 
-void ct_steer(struct ct_node *n, const struct ct_group *g, int inst, struct vw_change *ch)
+void ct_propose_for_group(struct ct_node *n, const struct ct_group *g, int inst,
+                          struct vw_change *ch)
 {
     struct er_err err = {0};
     sr_copy(ch->group, sizeof(ch->group), sr_from(g->name));
@@ -15,24 +16,24 @@
 void ct_group_tick(struct ct_node *n, struct ct_group *g)
 {
     const struct vw_group *v = vw_group(&n->view, g->name);
-    if (!v || !n->leading || !ct_vouched(n))
+    if (!v || !n->leading || !ct_quorum_confirmed(n))
         return;
     if (v->primary < 0 && v->phase == VW_SERVING)
         return;
-    n->steering->tick(n, g);
+    n->failover->tick(n, g);
 }
 
 static void tick_groups(void *ud)
 {
     struct ct_node *n = ud;
     for (int g = 0; g < n->n_groups; g++) {
-        if (n->groups[g]->due)
+        if (n->groups[g]->tick_due)
             ct_group_tick(n, n->groups[g]);
-        n->groups[g]->due = false;
+        n->groups[g]->tick_due = false;
     }
 }
 
-void ct_groups_soon(struct ct_node *n)
+void ct_schedule_group_ticks(struct ct_node *n)
 {
     nt_timer_set(n->loop, &n->soon, 1, tick_groups, n);
 }
--- a/control/initial_voters.c
+++ b/control/initial_voters.c
@@ -71,7 +71,7 @@
     return ok || fail(dir, err);
 }
 
-bool ct_founders(struct ct_node *n, bool found, struct qr_members *m, struct er_err *err)
+bool ct_initial_voters(struct ct_node *n, bool found, struct qr_members *m, struct er_err *err)
 {
     char path[PATH], text[TEXT];
     snprintf(path, sizeof(path), "%s/founders", n->s->data);
--- a/control/intents.c
+++ b/control/intents.c
@@ -86,9 +86,9 @@
 
 void ct_intents_tick(struct ct_node *n, int64_t now)
 {
-    if (!n->leading || !ct_vouched(n))
+    if (!n->leading || !ct_quorum_confirmed(n))
         return;
-    struct it_facts f = {.caught_up = ct_caught_up,
+    struct it_facts f = {.caught_up = ct_replica_caught_up,
                          .in_force = in_force_long(n, now),
                          .settled = now >= n->shares.quiet_until,
                          .members = qr_members(n->q),
--- a/control/limits.c
+++ b/control/limits.c
@@ -24,8 +24,8 @@
     lm_sweep(&n->limits);
 }
 
-uint32_t ct_limits_asked(struct ct_node *n, uint64_t node, const struct wr_renew *r,
-                         uint64_t seq, struct wr_permit *out)
+uint32_t ct_limits_on_renew(struct ct_node *n, uint64_t node, const struct wr_renew *r,
+                            uint64_t seq, struct wr_permit *out)
 {
     int64_t now = ck_now();
     uint32_t k = 0;
--- a/control/members.c
+++ b/control/members.c
@@ -89,12 +89,12 @@
 
 void ct_members_tick(struct ct_node *n, int64_t now)
 {
-    if (!n->s->registers || now < n->next_member_step)
+    if (!n->s->registers || now < n->next_member_tick)
         return;
-    n->next_member_step = now + EVERY_US;
+    n->next_member_tick = now + EVERY_US;
     for (struct ct_conn *c = n->conns; c; c = c->next)
-        ct_tell_controls(c);
-    if (!n->leading || !ct_vouched(n))
+        ct_send_controls(c);
+    if (!n->leading || !ct_quorum_confirmed(n))
         return;
     struct mb_state s = {.self = n->id, .tolerates = n->s->tolerates};
     add_members(n, &s, now);
@@ -103,7 +103,7 @@
     carry_out(n, &a, now);
 }
 
-void ct_tell_controls(struct ct_conn *c)
+void ct_send_controls(struct ct_conn *c)
 {
     struct ct_node *n = c->node;
     const struct qr_members *m = qr_members(n->q);
@@ -118,9 +118,9 @@
                                     .port = (uint32_t)m->m[i].port};
         hash += XXH64(m->m[i].ip, strlen(m->m[i].ip), m->m[i].id);
     }
-    if (hash == c->told_controls)
+    if (hash == c->sent_controls_hash)
         return;
-    c->told_controls = hash;
+    c->sent_controls_hash = hash;
     struct wr_msg msg = {.type = WR_CONTROLS, .nodes = {m->n, nodes}};
     ct_send_conn(c, &msg);
 }
--- a/control/nodes.c
+++ b/control/nodes.c
@@ -31,7 +31,7 @@
     return sum;
 }
 
-static void make_frame(struct ct_node *n, uint64_t from, struct ct_frame *f)
+static void make_frame(struct ct_node *n, uint64_t from, struct ct_cached_frame *f)
 {
     struct wr_msg m = {.type = WR_VIEW};
     char *text = ct_changes_since(n, from, &m.view.from);
@@ -47,9 +47,9 @@
 /* What nodes of generation `from` lack, encoded; made anew only if it is not what was sent
  * last: a change goes to all nodes at once, and hundreds that start together ask for the same.
  */
-static const struct ct_frame *view_frame(struct ct_node *n, uint64_t from, bool whole)
+static const struct ct_cached_frame *view_frame(struct ct_node *n, uint64_t from, bool whole)
 {
-    struct ct_frame *f = whole ? &n->whole_frame : &n->changes_frame;
+    struct ct_cached_frame *f = whole ? &n->whole_frame : &n->changes_frame;
     bool same = f->bytes.len && f->to == n->view.generation && (whole || f->from == from);
     if (!same)
         make_frame(n, from, f);
@@ -59,7 +59,7 @@
 /* Whether the node is to learn the newest changes with the next batch. */
 static bool batch_waits(const struct ct_conn *c)
 {
-    return c->node->news.waits && c->sent_gen;
+    return c->node->unsent_changes.waits && c->sent_generation;
 }
 
 /* Whether the newest view goes out to the node later, and it acts on the one before meanwhile.
@@ -67,7 +67,8 @@
 static bool view_waits(const struct ct_conn *c, int64_t now)
 {
     int64_t lease = CK_MS(c->node->s->lease_ms);
-    return batch_waits(c) || (c->sent_gen && pv_keeps_lease(&c->turn, lease, now));
+    return batch_waits(c) ||
+           (c->sent_generation && pv_keeps_lease(&c->pending_view, lease, now));
 }
 
 /* Send what the node is missing, once per connection. A node that must wait gets it in a later
@@ -75,21 +76,21 @@
 static void send_view(struct ct_conn *c, uint64_t has)
 {
     struct ct_node *n = c->node;
-    uint64_t from = c->sent_gen > has ? c->sent_gen : has;
+    uint64_t from = c->sent_generation > has ? c->sent_generation : has;
     if (from >= n->view.generation || batch_waits(c) ||
-        !pv_try_send(&c->turn, &n->pace, ck_now()))
+        !pv_try_send(&c->pending_view, &n->pace, ck_now()))
         return;
     bool whole = ct_needs_whole_view(n, from);
     if (whole && views_queued(n) > MAX_VIEWS_QUEUED)
         return;
-    const struct ct_frame *f = view_frame(n, from, whole);
-    n->c.views++;
-    n->c.snapshots += whole;
-    n->c.view_bytes += f->bytes.len;
-    tf_count_out(&n->tally, WR_VIEW, f->bytes.len);
+    const struct ct_cached_frame *f = view_frame(n, from, whole);
+    n->counters.views++;
+    n->counters.snapshots += whole;
+    n->counters.view_bytes += f->bytes.len;
+    tf_count_out(&n->traffic, WR_VIEW, f->bytes.len);
     vp_spent(&n->pace, (int64_t)f->bytes.len);
-    c->sent_gen = n->view.generation;
-    c->sent_at = ck_now();
+    c->sent_generation = n->view.generation;
+    c->view_sent_at = ck_now();
     if (c->net)
         nt_send(c->net, f->bytes.p, f->bytes.len);
 }
@@ -99,17 +100,17 @@
  * can't use, and every change of primary would wait for that lease. */
 static void note_generation(struct ct_conn *c, uint64_t has, int64_t now)
 {
-    bool late = now - c->sent_at > CK_MS(c->node->s->lease_ms) / 2;
-    if (has == 0 || has > c->sent_gen || late)
-        c->sent_gen = has;
+    bool late = now - c->view_sent_at > CK_MS(c->node->s->lease_ms) / 2;
+    if (has == 0 || has > c->sent_generation || late)
+        c->sent_generation = has;
 }
 
 void ct_push_view(struct ct_node *n)
 {
     for (struct ct_conn *c = n->conns; c; c = c->next) {
         bool knows = c->greeted && c->role == WR_ROLE_ENTRY;
-        if (knows && (c->sent_gen || c->turn.waiting))
-            send_view(c, c->sent_gen);
+        if (knows && (c->sent_generation || c->pending_view.waiting))
+            send_view(c, c->sent_generation);
     }
 }
 
@@ -121,14 +122,14 @@
 
 void ct_view_changed(struct ct_node *n, enum vw_change_kind kind)
 {
-    if (vp_changed(&n->news, can_wait(kind), n->n_conns, ck_now()))
+    if (vp_changed(&n->unsent_changes, can_wait(kind), n->n_conns, ck_now()))
         ct_push_view(n);
 }
 
 static void take_shares(struct ct_conn *c, const struct wr_renew *r, int64_t now)
 {
     struct ct_node *n = c->node;
-    int64_t until = r->stopping ? now : now + n->giver.lease_us;
+    int64_t until = r->stopping ? now : now + n->leases.lease_us;
     for (uint32_t i = 0; i < r->n; i++) {
         char id[VW_NAME];
         if (!sr_copy(id, sizeof(id), r->shares[i].inst))
@@ -149,12 +150,12 @@
     struct wr_share *s = sr_alloc(sizeof(*s) * (size_t)(r->n + 1));
     struct wr_permit *p = sr_alloc(sizeof(*p) * (size_t)(r->n_permits + 1));
     uint32_t k = 0, permits = 0;
-    if (c->knows_permits)
-        permits = ct_limits_asked(n, c->id, r, n->shares_seq + 1, p);
+    if (c->reported_permits)
+        permits = ct_limits_on_renew(n, c->id, r, n->shares_seq + 1, p);
     for (uint32_t i = 0; i < r->n; i++) {
         char id[VW_NAME];
         bool named = sr_copy(id, sizeof(id), r->shares[i].inst);
-        if (!named || (c->shares_told && !sh_untold(&n->shares, id, c->id)))
+        if (!named || (c->shares_sent && !sh_untold(&n->shares, id, c->id)))
             continue;
         s[k++] = (struct wr_share){
             .inst = r->shares[i].inst,
@@ -164,7 +165,7 @@
         struct wr_msg m = {.type = WR_SHARES};
         m.shares = (struct wr_shares){k, s, ++n->shares_seq, permits, p, r->seq};
         ct_send_conn(c, &m);
-        c->shares_told = c->shares_told || k > 0;
+        c->shares_sent = c->shares_sent || k > 0;
     }
     free(s);
     free(p);
@@ -174,7 +175,7 @@
 static bool is_listed(const struct ct_conn *c, int64_t now)
 {
     bool entry = c->greeted && c->role == WR_ROLE_ENTRY && c->port && !c->leaving;
-    return entry && ls_node_live(&c->node->giver, c->id, now - NODES_KEPT_US);
+    return entry && ls_node_live(&c->node->leases, c->id, now - NODES_KEPT_US);
 }
 
 /* A new leader knows of no lease at first: until all that are connected have one, or a lease's
@@ -184,7 +185,7 @@
     if (now - n->leading_since >= CK_MS(n->s->lease_ms))
         return true;
     bool starts = now - n->leading_since < CK_MS(n->s->election_ms);
-    if (starts && now - n->joined_at < JOIN_PAUSE_US)
+    if (starts && now - n->node_joined_at < JOIN_PAUSE_US)
         return false;
     for (const struct ct_conn *c = n->conns; c; c = c->next) {
         bool waited_for = c->greeted && c->role == WR_ROLE_ENTRY && !c->leaving;
@@ -206,9 +207,9 @@
 static void make_nodes(struct ct_node *n, int64_t now)
 {
     int k = 0;
-    if (n->nodes_at && now - n->nodes_at < NODES_EVERY_US)
+    if (n->nodes_built_at && now - n->nodes_built_at < NODES_EVERY_US)
         return;
-    n->nodes_at = now;
+    n->nodes_built_at = now;
     struct ho_node *list = sr_alloc(sizeof(*list) * HO_MAX_NODES);
     for (struct ct_conn *c = n->conns; c && k < HO_MAX_NODES; c = c->next) {
         if (is_listed(c, now))
@@ -247,11 +248,11 @@
 
 /* What a node that has list `has` lacks, encoded; made anew only if it is not what was sent
  * last: most that ask have the same list. */
-static const struct ct_frame *nodes_frame(struct ct_node *n, uint64_t has)
+static const struct ct_cached_frame *nodes_frame(struct ct_node *n, uint64_t has)
 {
     uint64_t to = nl_newest(&n->nodes)->hash;
     struct nl_change ch;
-    struct ct_frame *f = has > NL_EMPTY ? &n->nodes_changes : &n->nodes_whole;
+    struct ct_cached_frame *f = has > NL_EMPTY ? &n->nodes_changes : &n->nodes_whole;
     if (f->bytes.len && f->from == has && f->to == to)
         return f;
     nl_since(&n->nodes, has, &ch);
@@ -266,17 +267,17 @@
 static void send_nodes(struct ct_conn *to, int64_t now)
 {
     struct ct_node *n = to->node;
-    if (!to->nodes_known || !list_settled(n, now))
+    if (!to->reported_nodes || !list_settled(n, now))
         return;
     make_nodes(n, now);
     if (nl_newest(&n->nodes)->hash == to->nodes_hash)
         return;
-    const struct ct_frame *f = nodes_frame(n, to->nodes_hash);
-    n->c.node_lists++;
-    n->c.node_list_bytes += f->bytes.len;
-    tf_count_out(&n->tally, WR_NODES, f->bytes.len);
+    const struct ct_cached_frame *f = nodes_frame(n, to->nodes_hash);
+    n->counters.node_lists++;
+    n->counters.node_list_bytes += f->bytes.len;
+    tf_count_out(&n->traffic, WR_NODES, f->bytes.len);
     to->nodes_hash = f->to;
-    to->nodes_sent = now;
+    to->nodes_sent_at = now;
     if (to->net)
         nt_send(to->net, f->bytes.p, f->bytes.len);
 }
@@ -285,10 +286,10 @@
  * a moment ago may still be on its way. */
 static void note_nodes(struct ct_conn *c, uint64_t has, int64_t now)
 {
-    bool late = now - c->nodes_sent > CK_MS(c->node->s->lease_ms) / 2;
-    if (!c->nodes_known || late)
+    bool late = now - c->nodes_sent_at > CK_MS(c->node->s->lease_ms) / 2;
+    if (!c->reported_nodes || late)
         c->nodes_hash = has;
-    c->nodes_known = true;
+    c->reported_nodes = true;
 }
 
 /* Views that the pace held back. */
@@ -304,12 +305,12 @@
 
 void ct_nodes_tick(struct ct_node *n, int64_t now)
 {
-    if (n->leading && vp_news_due(&n->news, n->n_conns, now))
+    if (n->leading && vp_news_due(&n->unsent_changes, n->n_conns, now))
         ct_push_view(n);
     if (n->leading)
         push_tick(n, now);
     bool tells = n->leading && (n->s->holders || n->s->registers);
-    if (!tells || now - n->nodes_at < NODES_EVERY_US)
+    if (!tells || now - n->nodes_built_at < NODES_EVERY_US)
         return;
     for (struct ct_conn *c = n->conns; c; c = c->next) {
         if (c->greeted && c->role == WR_ROLE_ENTRY)
@@ -324,7 +325,7 @@
     ct_send_conn(c, &m);
 }
 
-void ct_say_leading(struct ct_conn *c)
+void ct_announce_leader(struct ct_conn *c)
 {
     struct wr_msg m = {.type = WR_NOT_LEADER, .leader = sr_from(c->node->s->name)};
     if (c->greeted && c->role != WR_ROLE_CONTROL)
@@ -349,13 +350,13 @@
     ct_send_conn(c, &m);
 }
 
-void ct_renewed(struct ct_conn *c, const struct wr_renew *r)
+void ct_on_renew(struct ct_conn *c, const struct wr_renew *r)
 {
     struct ct_node *n = c->node;
     int64_t now = ck_now();
     ck_hlc_seen(&n->tl->hlc, r->hlc);
-    if (!n->leading || !ct_vouched(n)) {
-        n->c.refused_grants++;
+    if (!n->leading || !ct_quorum_confirmed(n)) {
+        n->counters.refused_grants++;
         not_leader(c);
         return;
     }
@@ -364,21 +365,21 @@
         return;
     }
     struct wr_msg m = granted(n, r);
-    if (!ls_node_live(&n->giver, c->id, now))
-        n->joined_at = now;
-    int64_t us = r->stopping ? 0 : ls_grant(&n->giver, c->id, qr_vouched_until(n->q), now);
+    if (!ls_node_live(&n->leases, c->id, now))
+        n->node_joined_at = now;
+    int64_t us = r->stopping ? 0 : ls_grant(&n->leases, c->id, qr_vouched_until(n->q), now);
     m.grant.duration_ms = (uint32_t)(us / 1000);
     if (r->stopping)
-        ls_released(&n->giver, c->id);
+        ls_released(&n->leases, c->id);
     else
-        n->c.grants++;
+        n->counters.grants++;
     c->leaving = r->leaving;
-    c->knows_permits = c->knows_permits || r->all_permits;
-    m.grant.knows_permits = c->knows_permits;
-    ls_acked(&n->giver, c->id, r->generation);
+    c->reported_permits = c->reported_permits || r->all_permits;
+    m.grant.knows_permits = c->reported_permits;
+    ls_acked(&n->leases, c->id, r->generation);
     note_generation(c, r->generation, now);
     send_view(c, r->generation);
-    m.grant.generation = view_waits(c, now) ? c->sent_gen : n->view.generation;
+    m.grant.generation = view_waits(c, now) ? c->sent_generation : n->view.generation;
     take_shares(c, r, now);
     send_shares(c, r);
     note_nodes(c, r->nodes, now);
@@ -387,7 +388,7 @@
     ct_send_conn(c, &m);
 }
 
-int ct_check_nodes(struct ct_node *n, uint64_t nonce, const char *inst)
+int ct_request_checks(struct ct_node *n, uint64_t nonce, const char *inst)
 {
     struct wr_msg m = {.type = WR_CHECK};
     m.check.nonce = nonce;
--- a/control/ops.c
+++ b/control/ops.c
@@ -49,8 +49,8 @@
             continue;
         json_array_append_new(
             a, json_pack("{s:s,s:s,s:i,s:i,s:s,s:b,s:i}", "name", c->name, "ip", c->ip, "port",
-                         c->port, "http", c->http, "domain", c->domain, "lease",
-                         ls_node_live(&n->giver, c->id, now), "carries", c->carries));
+                         c->port, "http", c->http_port, "domain", c->domain, "lease",
+                         ls_node_live(&n->leases, c->id, now), "carries", c->carries));
     }
     return a;
 }
@@ -58,12 +58,12 @@
 static json_t *status_json(struct ct_node *n)
 {
     char id[24];
-    int have = 0, live = ls_count(&n->giver, n->view.generation, ck_now(), &have);
+    int have = 0, live = ls_count(&n->leases, n->view.generation, ck_now(), &have);
     snprintf(id, sizeof(id), "%llx", (unsigned long long)n->id);
     json_t *view = vw_view_json(&n->view);
     json_t *o = json_pack(
         "{s:s,s:s,s:s,s:b,s:b,s:s,s:I,s:I,s:I,s:I,s:i,s:i,s:o}", "node", n->s->name, "role",
-        "control", "id", id, "leads", n->leading, "vouched", ct_vouched(n), "leader",
+        "control", "id", id, "leads", n->leading, "vouched", ct_quorum_confirmed(n), "leader",
         ct_member_name(n, qr_leader(n->q)), "term", (json_int_t)qr_term(n->q), "commit",
         (json_int_t)qr_commit(n->q), "last", (json_int_t)qr_last(n->q), "first",
         (json_int_t)qr_first(n->q), "entry_nodes", live, "in_force_on", have, "view", view);
@@ -91,26 +91,26 @@
         {"commit_index", qr_commit(n->q)},
         {"generation", n->view.generation},
         {"leads", n->leading},
-        {"grants_total", n->c.grants},
-        {"refused_grants_total", n->c.refused_grants},
-        {"views_sent_total", n->c.views},
-        {"view_bytes_total", n->c.view_bytes},
-        {"node_lists_total", n->c.node_lists},
-        {"node_list_bytes_total", n->c.node_list_bytes},
-        {"view_snapshots_total", n->c.snapshots},
-        {"proposals_total", n->c.proposals},
-        {"changes_applied_total", n->c.applied},
-        {"changes_refused_total", n->c.refused_changes},
-        {"promotions_total", n->c.promotions},
-        {"bad_messages_total", n->c.bad_messages},
-        {"refused_peers_total", n->c.wrong_cluster},
-        {"platform_failures_total", n->c.platform_failures},
+        {"grants_total", n->counters.grants},
+        {"refused_grants_total", n->counters.refused_grants},
+        {"views_sent_total", n->counters.views},
+        {"view_bytes_total", n->counters.view_bytes},
+        {"node_lists_total", n->counters.node_lists},
+        {"node_list_bytes_total", n->counters.node_list_bytes},
+        {"view_snapshots_total", n->counters.snapshots},
+        {"proposals_total", n->counters.proposals},
+        {"changes_applied_total", n->counters.applied},
+        {"changes_refused_total", n->counters.refused_changes},
+        {"promotions_total", n->counters.promotions},
+        {"bad_messages_total", n->counters.bad_messages},
+        {"refused_peers_total", n->counters.wrong_cluster},
+        {"platform_failures_total", n->counters.platform_failures},
         {"disk_syncs_total", syncs},
         {"disk_longest_us", (uint64_t)longest},
         {"log_bytes", so_log_bytes(n->store)},
-        {"force_us_p50", (uint64_t)hi_quantile(&n->force, 0.5)},
-        {"force_us_p99", (uint64_t)hi_quantile(&n->force, 0.99)},
-        {"force_count", n->force.count},
+        {"force_us_p50", (uint64_t)hi_quantile(&n->time_to_force, 0.5)},
+        {"force_us_p99", (uint64_t)hi_quantile(&n->time_to_force, 0.99)},
+        {"force_count", n->time_to_force.count},
         {"peer_bytes_in_total", n->peer_traffic.bytes_in},
         {"peer_bytes_out_total", n->peer_traffic.bytes_out},
         {"net_bytes_in_total", nt_stats(n->loop)->bytes_in},
@@ -130,19 +130,19 @@
                       (unsigned long long)rows[i].v);
 }
 
-void ct_tell_traffic(struct ct_node *n, int64_t now)
+void ct_log_traffic(struct ct_node *n, int64_t now)
 {
-    bool due = n->tally_told_at && now - n->tally_told_at >= TELL_TRAFFIC_US;
-    if (due || !n->tally_told_at)
-        n->tally_told_at = now;
+    bool due = n->traffic_logged_at && now - n->traffic_logged_at >= TELL_TRAFFIC_US;
+    if (due || !n->traffic_logged_at)
+        n->traffic_logged_at = now;
     if (!due)
         return;
-    const struct nt_counters *st = nt_stats(n->loop), *was = &n->net_told;
+    const struct nt_counters *st = nt_stats(n->loop), *was = &n->logged_net;
     struct sr_buf b = {0};
     uint64_t syncs;
     int64_t longest;
     dk_stats(n->disk, &syncs, &longest);
-    tf_report(&n->tally, &b);
+    tf_report(&n->traffic, &b);
     FL_EVENT(
         &n->log, LG_INFO, "traffic",
         "leads=%d entry_nodes=%d connections=%llu requests=%llu ended_by_us=%llu "
@@ -153,7 +153,7 @@
         (unsigned long long)(st->http_closed - was->http_closed),
         (unsigned long long)(st->http_accepted - st->http_closed), (unsigned long long)syncs,
         (long long)(longest / 1000), (int)b.len, b.p ? b.p : "");
-    n->net_told = *st;
+    n->logged_net = *st;
     sr_buf_free(&b);
 }
 
@@ -162,7 +162,7 @@
     struct sr_buf b = {0};
     put_counters(&b, n);
     put_shares(&b, &n->shares);
-    tf_metrics(&n->tally, &b);
+    tf_metrics(&n->traffic, &b);
     nt_http_reply(c, 200, "text/plain; version=0.0.4", b.p, b.len);
     sr_buf_free(&b);
 }
@@ -185,7 +185,7 @@
 static bool plan_of(struct ct_node *n, const json_t *args, struct it_plan *p,
                     struct it_request *r, struct er_err *err)
 {
-    if (!ct_vouched(n) || !n->leading)
+    if (!ct_quorum_confirmed(n) || !n->leading)
         return er_set(err, qr_role(n->q) == QR_LEADER ? ER_NO_QUORUM : ER_NOT_LEADER,
                       "ask the leader");
     return it_parse(args, r, err) && it_plan(&n->view, qr_members(n->q), r, p, err);
@@ -214,7 +214,7 @@
 
 static void waiter_closed(struct nt_conn *c, void *ud, bool opened, bool refused)
 {
-    struct ct_waiting *w = ud;
+    struct ct_operator_request *w = ud;
     (void)c;
     (void)opened;
     (void)refused;
@@ -225,8 +225,8 @@
 
 static bool wait_for(struct ct_node *n, struct nt_conn *c, const char *id)
 {
-    for (int i = 0; i < CT_MAX_WAITING; i++) {
-        struct ct_waiting *w = &n->waiting[i];
+    for (int i = 0; i < CT_MAX_OPERATOR_REQUESTS; i++) {
+        struct ct_operator_request *w = &n->operator_requests[i];
         if (w->conn)
             continue;
         w->conn = c;
@@ -290,7 +290,7 @@
                 : er_set(&err, ER_BAD_INPUT, "the body is no JSON");
     json_decref(o);
     json_t *known = ok ? intent_answer(&n->view, ch.intent.id) : NULL;
-    if (known && ct_vouched(n)) {
+    if (known && ct_quorum_confirmed(n)) {
         reply(req->conn, 200, known);
         return;
     }
@@ -308,8 +308,8 @@
     if (ch->kind != VW_CH_INTENT)
         return;
     json_t *known = intent_answer(&n->view, ch->intent.id);
-    for (int i = 0; i < CT_MAX_WAITING; i++) {
-        struct ct_waiting *w = &n->waiting[i];
+    for (int i = 0; i < CT_MAX_OPERATOR_REQUESTS; i++) {
+        struct ct_operator_request *w = &n->operator_requests[i];
         if (!w->conn || strcmp(w->id, ch->intent.id) != 0)
             continue;
         struct nt_conn *c = w->conn;
@@ -324,8 +324,8 @@
 
 void ct_ops_tick(struct ct_node *n, int64_t now)
 {
-    for (int i = 0; i < CT_MAX_WAITING; i++) {
-        struct ct_waiting *w = &n->waiting[i];
+    for (int i = 0; i < CT_MAX_OPERATOR_REQUESTS; i++) {
+        struct ct_operator_request *w = &n->operator_requests[i];
         if (!w->conn || now < w->until)
             continue;
         struct nt_conn *c = w->conn;
@@ -366,7 +366,7 @@
 {
     struct ct_node *n = req->ud;
     bool post = strcmp(req->method, "POST") == 0;
-    if (n->outside && n->outside->http(n, req))
+    if (n->platform && n->platform->http(n, req))
         return;
     if (post && strcmp(req->path, "/v1/plan") == 0)
         do_plan(n, req);
--- a/control/peers.c
+++ b/control/peers.c
@@ -14,7 +14,7 @@
 {
     struct sr_buf b = {0};
     wr_encode(&b, m);
-    tf_count_out(&n->tally, m->type, b.len);
+    tf_count_out(&n->traffic, m->type, b.len);
     nt_send(net, b.p, b.len);
     sr_buf_free(&b);
 }
@@ -30,7 +30,7 @@
 static struct ct_peer *peer_of(struct ct_node *n, uint64_t id)
 {
     for (struct ct_peer *p = n->peers; p; p = p->next) {
-        if (p->m.id == id)
+        if (p->member.id == id)
             return p;
     }
     return NULL;
@@ -48,7 +48,7 @@
 {
     struct ct_peer *p = sr_alloc(sizeof(*p));
     p->node = n;
-    p->m = *m;
+    p->member = *m;
     p->next = n->peers;
     n->peers = p;
     return p;
@@ -57,7 +57,7 @@
 static struct ct_peer *peer_at(struct ct_node *n, const char *ip, int port)
 {
     for (struct ct_peer *p = n->peers; p; p = p->next) {
-        if (p->m.port == port && strcmp(p->m.ip, ip) == 0)
+        if (p->member.port == port && strcmp(p->member.ip, ip) == 0)
             return p;
     }
     return NULL;
@@ -73,7 +73,7 @@
         return;
     sr_copy(m.name, sizeof(m.name), sr_from(name));
     sr_copy(m.ip, sizeof(m.ip), sr_from(ip));
-    peer_add(n, &m)->began = ck_now();
+    peer_add(n, &m)->active_at = ck_now();
 }
 
 static void learn_addresses(struct ct_node *n, const struct wr_nodes *list)
@@ -105,9 +105,9 @@
 {
     struct ct_peer *p = ud;
     p->open = true;
-    rd_opened(&p->line);
-    p->began = ck_now();
-    hello(p->node, net, p->m.id);
+    rd_opened(&p->redial);
+    p->active_at = ck_now();
+    hello(p->node, net, p->member.id);
 }
 
 /* Answers of the agreement come on the other side's own connection; here it only tells where
@@ -118,7 +118,7 @@
     struct wr_msg m;
     struct er_err err = {0};
     if (!wr_decode(&p->node->dec, data, len, &m, &err)) {
-        FL_WARN(&p->node->log, "from %s: %s; closing", p->m.ip, err.text);
+        FL_WARN(&p->node->log, "from %s: %s; closing", p->member.ip, err.text);
         nt_close(net, true);
     } else if (m.type == WR_CONTROLS) {
         learn_addresses(p->node, &m.nodes);
@@ -133,7 +133,7 @@
     (void)refused;
     p->net = NULL;
     p->open = false;
-    rd_closed(&p->line, ck_now());
+    rd_closed(&p->redial, ck_now());
 }
 
 static const struct nt_ops peer_ops = {peer_open, peer_message, peer_close};
@@ -152,11 +152,11 @@
 static bool outdated(struct ct_node *n, const struct ct_peer *p, int64_t now)
 {
     const struct qr_members *ms = qr_members(n->q);
-    for (uint32_t i = 0; p->m.id && i < ms->n; i++) {
-        if (ms->m[i].id == p->m.id)
+    for (uint32_t i = 0; p->member.id && i < ms->n; i++) {
+        if (ms->m[i].id == p->member.id)
             return false;
     }
-    return n->s->registers && !p->net && now - p->began > FORGET_US;
+    return n->s->registers && !p->net && now - p->active_at > FORGET_US;
 }
 
 void ct_peers_sync(struct ct_node *n)
@@ -168,14 +168,14 @@
         struct ct_peer *p = peer_of(n, ms->m[i].id);
         if (!p) {
             p = peer_at(n, ms->m[i].ip, ms->m[i].port);
-            if (p && p->m.id)
+            if (p && p->member.id)
                 p = NULL; /* of another identity */
         }
         if (!p) {
             p = peer_add(n, &ms->m[i]);
-            p->began = ck_now();
+            p->active_at = ck_now();
         }
-        p->m = ms->m[i];
+        p->member = ms->m[i];
     }
 }
 
@@ -188,12 +188,12 @@
         next = p->next;
         if (outdated(n, p, now)) {
             drop_peer(n, p);
-        } else if (!p->net && rd_due(&p->line, now)) {
-            p->net = nt_connect(n->loop, p->m.ip, p->m.port, true, &peer_ops, p);
+        } else if (!p->net && rd_due(&p->redial, now)) {
+            p->net = nt_connect(n->loop, p->member.ip, p->member.port, true, &peer_ops, p);
             nt_meter(p->net, &n->peer_traffic);
-            rd_dialed(&p->line, now);
-        } else if (p->net && !p->open && rd_hangs(&p->line, now)) {
-            rd_gave_up(&p->line);
+            rd_dialed(&p->redial, now);
+        } else if (p->net && !p->open && rd_hangs(&p->redial, now)) {
+            rd_gave_up(&p->redial);
             nt_close(p->net, true);
         }
     }
@@ -203,7 +203,7 @@
 
 static void refuse(struct ct_conn *c, const char *why)
 {
-    c->node->c.wrong_cluster++;
+    c->node->counters.wrong_cluster++;
     FL_WARN(&c->node->log, "a peer is refused: %s", why);
     nt_close(c->net, true);
 }
@@ -214,7 +214,7 @@
     struct ct_peer *p = peer_of(n, id);
     if (!p || p->open)
         return;
-    rd_heard(&p->line, ck_now());
+    rd_heard(&p->redial, ck_now());
     if (p->net)
         nt_close(p->net, true);
 }
@@ -238,17 +238,17 @@
     c->id = h->id;
     c->port = (int)h->port;
     c->carries = (int)h->carries;
-    c->http = (int)h->http;
+    c->http_port = (int)h->http;
     if (c->role == WR_ROLE_CONTROL && !peer_of(n, c->id)) {
         struct qr_member m = {.id = c->id, .port = c->port};
         sr_copy(m.name, sizeof(m.name), sr_from(c->name));
         sr_copy(m.ip, sizeof(m.ip), sr_from(c->ip));
         /* a node without members yet must be able to answer */
-        peer_add(n, &m)->began = ck_now();
+        peer_add(n, &m)->active_at = ck_now();
     }
     if (c->role == WR_ROLE_CONTROL)
         dial_back(n, c->id);
-    ct_tell_controls(c);
+    ct_send_controls(c);
 }
 
 static void from_control(struct ct_conn *c, const struct wr_msg *m)
@@ -257,7 +257,7 @@
     if (m->type == WR_QUORUM && m->quorum.from == c->id)
         qr_receive(n->q, &m->quorum, ck_now());
     else if (m->type == WR_PROBES)
-        ct_probes(c, &m->probes);
+        ct_on_probes(c, &m->probes);
 }
 
 static void from_entry(struct ct_conn *c, const struct wr_msg *m)
@@ -265,21 +265,21 @@
     struct ct_node *n = c->node;
     switch (m->type) {
     case WR_RENEW:
-        ct_renewed(c, &m->renew);
+        ct_on_renew(c, &m->renew);
         break;
     case WR_ACK:
         if (n->leading) {
-            ls_acked(&n->giver, c->id, m->ack);
+            ls_acked(&n->leases, c->id, m->ack);
             for (int i = 0; i < n->n_groups; i++)
                 if (n->groups[i]->phase != VW_SERVING)
                     ct_group_tick(n, n->groups[i]);
         }
         break;
     case WR_CHECKED:
-        ct_checked(n, &m->check);
+        ct_on_check_reply(n, &m->check);
         break;
     case WR_SUSPECT:
-        ct_suspected(c, &m->check);
+        ct_on_suspect(c, &m->check);
         break;
     default:
         break;
@@ -298,24 +298,24 @@
     struct wr_msg m;
     struct er_err err = {0};
     if (!wr_decode(&c->node->dec, data, len, &m, &err)) {
-        c->node->c.bad_messages++;
+        c->node->counters.bad_messages++;
         FL_WARN(&c->node->log, "from %s: %s; closing", c->name[0] ? c->name : "a peer",
                 err.text);
         nt_close(net, true);
         return;
     }
-    tf_count_in(&c->node->tally, m.type, len);
+    tf_count_in(&c->node->traffic, m.type, len);
     if (m.type == WR_HELLO) {
         on_hello(c, &m.hello);
     } else if (!c->greeted) {
-        c->node->c.bad_messages++;
+        c->node->counters.bad_messages++;
         nt_close(net, true);
     } else if (c->role == WR_ROLE_CONTROL) {
         from_control(c, &m);
     } else if (c->role == WR_ROLE_ENTRY) {
         from_entry(c, &m);
     } else if (m.type == WR_RENEW) {
-        ct_renewed(c, &m.renew);
+        ct_on_renew(c, &m.renew);
     }
 }
 
--- a/control/platform.c
+++ b/control/platform.c
@@ -21,9 +21,9 @@
 static void complain(struct ct_node *n, const char *inst, const char *why)
 {
     int64_t now = ck_now();
-    if (now < n->next_complaint)
+    if (now < n->next_drain_warning)
         return;
-    n->next_complaint = now + COMPLAIN_US;
+    n->next_drain_warning = now + COMPLAIN_US;
     FL_WARN(&n->log, "%s is leaving by the platform's list but can't be drained: %s", inst,
             why);
 }
@@ -76,10 +76,10 @@
     size_t i;
     json_t *vm;
     json_t *list = status == 200 ? json_loadb(body, len, 0, NULL) : NULL;
-    bool can = n->leading && ct_vouched(n) && qr_commit(n->q) >= n->step_index;
-    n->asking_platform = false;
+    bool can = n->leading && ct_quorum_confirmed(n) && qr_commit(n->q) >= n->step_index;
+    n->platform_polled = false;
     if (status != 200)
-        n->c.platform_failures++;
+        n->counters.platform_failures++;
     json_array_foreach(list, i, vm)
     {
         const char *state = json_string_value(json_object_get(vm, "state"));
@@ -93,10 +93,11 @@
 
 void ct_platform_tick(struct ct_node *n, int64_t now)
 {
-    if (!n->s->platform_port || !n->leading || n->asking_platform || now < n->next_platform)
+    if (!n->s->platform_port || !n->leading || n->platform_polled ||
+        now < n->next_platform_poll)
         return;
-    n->next_platform = now + EVERY_US;
-    n->asking_platform = true;
+    n->next_platform_poll = now + EVERY_US;
+    n->platform_polled = true;
     nt_http_get(n->loop, n->s->platform_ip, n->s->platform_port, "GET", "/vms", NULL, on_list,
                 n);
 }
--- a/control/promotions.c
+++ b/control/promotions.c
@@ -11,7 +11,7 @@
     if (kind == VW_CH_REPLACE)
         tl_add(n->tl, TL_DOWN, g->name, a->term, "%s",
                g->pr.why[0] ? g->pr.why : "no primary yet");
-    ct_steer(n, g, a->inst, &ch);
+    ct_propose_for_group(n, g, a->inst, &ch);
 }
 
 static void do_follow(struct ct_node *n, struct ct_group *g, const struct pr_action *a)
@@ -32,7 +32,7 @@
     struct ep_request q = {.term = a->term};
     switch (a->kind) {
     case PR_DO_CHECK:
-        pr_checking(&g->pr, ct_check_nodes(n, g->pr.nonce, in->id));
+        pr_checking(&g->pr, ct_request_checks(n, g->pr.nonce, in->id));
         break;
     case PR_DO_REPLACE:
         propose(n, g, VW_CH_REPLACE, a);
@@ -41,7 +41,7 @@
         propose(n, g, VW_CH_ABANDON, a);
         break;
     case PR_DO_PRIMARY:
-        n->c.promotions++;
+        n->counters.promotions++;
         propose(n, g, VW_CH_PRIMARY, a);
         break;
     case PR_DO_FENCE:
@@ -74,8 +74,8 @@
     const struct vw_group *v = vw_group(&n->view, g->name);
     struct pr_actions acts;
     bool polite = n->s->fence && v->phase == VW_HANDING;
-    bool dropped = polite ? ls_known_have(&n->giver, g->phase_gen, ck_now())
-                          : ls_all_have(&n->giver, g->phase_gen, ck_now());
+    bool dropped = polite ? ls_known_have(&n->leases, g->phase_generation, ck_now())
+                          : ls_all_have(&n->leases, g->phase_generation, ck_now());
     pr_tick(&g->pr, v, dropped, ck_now(), &acts);
     act_on(n, g, &acts);
 }
@@ -125,5 +125,5 @@
     return g->pr.step != PR_IDLE;
 }
 
-const struct ct_failover_ops ct_by_promote = {begin,   probed, said, reached,
-                                              checked, decide, busy};
+const struct ct_failover_ops ct_failover_promote = {begin,   probed, said, reached,
+                                                    checked, decide, busy};
--- a/control/registrations.c
+++ b/control/registrations.c
@@ -4,20 +4,20 @@
 
 /* The newest call that this node took of an instance. Soft: another leader starts
  * without it, and what matters (drained, left) is in the view. */
-static struct ct_seq *seq_of(struct ct_node *n, const char *id)
+static struct ct_last_call *seq_of(struct ct_node *n, const char *id)
 {
-    int i = ix_get(&n->seq_at, id);
+    int i = ix_get(&n->last_call_index, id);
     if (i != IX_NONE)
-        return &n->seqs[i];
-    if (n->n_seqs == CT_MAX_SEQS) {
-        ix_free(&n->seq_at);
-        n->seq_at = (struct ix_index){0};
-        n->n_seqs = 0;
+        return &n->last_calls[i];
+    if (n->n_last_calls == CT_MAX_LAST_CALLS) {
+        ix_free(&n->last_call_index);
+        n->last_call_index = (struct ix_index){0};
+        n->n_last_calls = 0;
     }
-    struct ct_seq *s = &n->seqs[n->n_seqs];
-    *s = (struct ct_seq){0};
+    struct ct_last_call *s = &n->last_calls[n->n_last_calls];
+    *s = (struct ct_last_call){0};
     sr_copy(s->id, sizeof(s->id), sr_from(id));
-    ix_set(&n->seq_at, id, n->n_seqs++);
+    ix_set(&n->last_call_index, id, n->n_last_calls++);
     return s;
 }
 
@@ -33,7 +33,7 @@
         return false;
     FL_EVENT(&n->log, LG_INFO, "instance_changed", "instance=%s group=%s change=%s",
              ch->instance, ch->group, vw_change_name(ch->kind));
-    ct_await(n, c, index, done);
+    ct_await_commit(n, c, index, done);
     return false;
 }
 
@@ -43,7 +43,7 @@
 {
     struct vw_change ch;
     struct er_err refused = {0};
-    struct ct_seq *s = seq_of(n, b->inst.id);
+    struct ct_last_call *s = seq_of(n, b->inst.id);
     enum rg_need need = rg_beat(&n->view, b, &s->last, &ch, &refused);
     if (!rg_may_end(need) && !ct_may_answer(n, err))
         return false;
--- a/control/takeovers.c
+++ b/control/takeovers.c
@@ -76,7 +76,7 @@
                  g->name, (unsigned long long)a->term, vw_change_name(kind),
                  g->tk.why[0] ? g->tk.why : "tried again");
     }
-    ct_steer(n, g, a->inst, &ch);
+    ct_propose_for_group(n, g, a->inst, &ch);
 }
 
 static void on_called(struct ct_node *n, const char *group, uint64_t token,
@@ -96,18 +96,18 @@
 static void order(struct ct_node *n, struct ct_group *g, const struct tk_action *a)
 {
     const char *id = g->inst[a->inst]->id;
-    n->c.promotions++;
+    n->counters.promotions++;
     tl_add(n->tl, TL_FENCED, g->name, a->term, "%s is ordered to take over", id);
     FL_EVENT(&n->log, LG_INFO, "order_sent", "group=%s term=%llu instance=%s", g->name,
              (unsigned long long)a->term, id);
-    n->outside->promote(n, g->name, id, a->term, on_called);
+    n->platform->promote(n, g->name, id, a->term, on_called);
 }
 
 static void do_action(struct ct_node *n, struct ct_group *g, const struct tk_action *a)
 {
     switch (a->kind) {
     case TK_DO_CHECK:
-        tk_checking(&g->tk, ct_check_nodes(n, g->tk.nonce, g->inst[a->inst]->id));
+        tk_checking(&g->tk, ct_request_checks(n, g->tk.nonce, g->inst[a->inst]->id));
         break;
     case TK_DO_REPLACE:
         propose(n, g, VW_CH_REPLACE, a);
@@ -131,10 +131,10 @@
 {
     const struct vw_group *v = vw_group(&n->view, g->name);
     struct tk_actions acts;
-    tk_tick(&g->tk, v, ls_all_have(&n->giver, g->phase_gen, ck_now()), ck_now(), &acts);
+    tk_tick(&g->tk, v, ls_all_have(&n->leases, g->phase_generation, ck_now()), ck_now(), &acts);
     for (int i = 0; i < acts.n; i++)
         do_action(n, g, &acts.a[i]);
 }
 
-const struct ct_failover_ops ct_by_takeover = {begin,   probed, said, reached,
-                                               checked, decide, busy};
+const struct ct_failover_ops ct_failover_takeover = {begin,   probed, said, reached,
+                                                     checked, decide, busy};
--- a/control/watch.c
+++ b/control/watch.c
@@ -24,14 +24,14 @@
 
 struct ct_group *ct_group_of(struct ct_node *n, const char *name)
 {
-    int i = ix_get(&n->group_at, name);
+    int i = ix_get(&n->group_index, name);
     return i == IX_NONE ? NULL : n->groups[i];
 }
 
 /* The group of the instance that a message names; its id goes to `id`. */
 static struct ct_group *group_with(struct ct_node *n, struct sr_str inst, char id[VW_NAME])
 {
-    int i = sr_copy(id, VW_NAME, inst) ? ix_get(&n->inst_at, id) : IX_NONE;
+    int i = sr_copy(id, VW_NAME, inst) ? ix_get(&n->inst_index, id) : IX_NONE;
     return i == IX_NONE ? NULL : n->groups[i];
 }
 
@@ -48,10 +48,10 @@
 
 uint64_t ct_send_op(struct ct_inst *in, struct ep_request *q)
 {
-    q->id = ++in->last_id;
-    if (!in->c || !in->open || !in->node->driver->send(in->c, q))
+    q->id = ++in->last_request_id;
+    if (!in->conn || !in->open || !in->node->driver->send(in->conn, q))
         return 0;
-    tf_count_probe(&in->node->tally, TF_PROBE_SENT);
+    tf_count_probe(&in->node->traffic, TF_PROBE_SENT);
     return q->id;
 }
 
@@ -59,10 +59,10 @@
 {
     struct ct_node *n = in->node;
     if (in->health != health)
-        in->changed = ck_now();
+        in->health_changed_at = ck_now();
     in->health = health;
-    if (!in->gone)
-        n->steering->probed(in->group, in->id, n->id, n->s->domain, health);
+    if (!in->removed)
+        n->failover->probed(in->group, in->id, n->id, n->s->domain, health);
 }
 
 static void on_open(struct ep_conn *c, void *ud)
@@ -70,12 +70,12 @@
     struct ct_inst *in = ud;
     (void)c;
     in->open = true;
-    tf_count_probe(&in->node->tally, TF_PROBE_OPENED);
-    in->answered = ck_now();
-    in->probed = 0;
-    if (in->gone)
+    tf_count_probe(&in->node->traffic, TF_PROBE_OPENED);
+    in->replied_at = ck_now();
+    in->probed_at = 0;
+    if (in->removed)
         return;
-    in->node->steering->reached(in->group, in->id);
+    in->node->failover->connected(in->group, in->id);
     if (in->node->leading)
         ct_group_tick(in->node, in->group);
 }
@@ -86,16 +86,16 @@
     struct ct_node *n = in->node;
     int64_t now = ck_now();
     (void)c;
-    tf_count_probe(&n->tally, TF_PROBE_ANSWERED);
-    in->answered = now;
-    in->said = *r;
-    in->said.value = SR_LIT("");
+    tf_count_probe(&n->traffic, TF_PROBE_ANSWERED);
+    in->replied_at = now;
+    in->status = *r;
+    in->status.value = SR_LIT("");
     struct ct_group *g = in->group;
-    if (in->gone)
+    if (in->removed)
         return;
     report(in, PR_UP);
     if (r->result == EP_OK)
-        n->steering->said(g, in->id, r);
+        n->failover->replied(g, in->id, r);
     bool event = g->phase != VW_SERVING;
     if (r->id == in->fence_id && r->result == EP_OK) {
         tl_add(n->tl, TL_FENCED, g->name, in->fence_term, "%s at %llu/%llu", in->id,
@@ -124,17 +124,17 @@
 {
     struct ct_inst *in = ud;
     (void)c;
-    in->c = NULL;
+    in->conn = NULL;
     in->open = false;
-    tf_count_probe(&in->node->tally, TF_PROBE_CLOSED);
+    tf_count_probe(&in->node->traffic, TF_PROBE_CLOSED);
     in->fence_id = in->promote_id = 0;
-    if (in->gone) {
+    if (in->removed) {
         free(in);
         return;
     }
     /* A connection that was good is tried anew at once: a refusal tells that the process died.
      */
-    in->next_try = ck_now() + (opened ? 0 : RETRY_US);
+    in->next_connect = ck_now() + (opened ? 0 : RETRY_US);
     enum pr_health h = refused ? PR_REFUSED : PR_SILENT;
     bool news = in->health != h;
     report(in, h);
@@ -179,26 +179,26 @@
      * connected together are not to be probed together for ever. */
     int64_t every = probe_every(in->node);
     int64_t offset = (int64_t)(XXH64(in->id, strlen(in->id), 0) % (uint64_t)every);
-    in->probed = in->probed ? now : now - offset;
+    in->probed_at = in->probed_at ? now : now - offset;
     ct_send_op(in, &q);
 }
 
 /* Where connections to instances are scarce only the leader has one. */
 static bool watches(const struct ct_node *n)
 {
-    return !n->outside || n->leading;
+    return !n->platform || n->leading;
 }
 
 /* Whether a connection may be made or closed in this tick; if not, the next one begins with
  * this group, so that those that refuse don't keep others from their turn. */
 static bool may_change_line(struct ct_node *n, int group)
 {
-    if (n->lines_left > 0) {
-        n->lines_left--;
+    if (n->conn_changes_left > 0) {
+        n->conn_changes_left--;
         return true;
     }
-    if (n->watch_next < 0)
-        n->watch_next = group;
+    if (n->next_group < 0)
+        n->next_group = group;
     return false;
 }
 
@@ -207,32 +207,33 @@
 {
     const struct st_settings *s = in->node->s;
     if (!watches(in->node)) {
-        if (in->c && may_change_line(in->node, group))
-            in->node->driver->close(in->c);
+        if (in->conn && may_change_line(in->node, group))
+            in->node->driver->close(in->conn);
         return;
     }
-    if (!in->c) {
+    if (!in->conn) {
         char who[64];
         snprintf(who, sizeof(who), "control:%s", s->name);
         struct ep_target to = {in->ip, in->port, in->group->name, in->id};
-        if (now >= in->next_try && may_change_line(in->node, group))
-            in->c = in->node->driver->open(in->node->loop, &to, who, &events, in);
-        if (in->c)
-            in->opening = now;
+        if (now >= in->next_connect && may_change_line(in->node, group))
+            in->conn = in->node->driver->open(in->node->loop, &to, who, &events, in);
+        if (in->conn)
+            in->connecting_since = now;
         return;
     }
-    if (!in->open && now - in->opening > silent_after(in))
+    if (!in->open && now - in->connecting_since > silent_after(in))
         report(in, PR_SILENT);
     /* A connection may be silent for good while a new one would work. */
-    if (now - (in->open ? in->answered : in->opening) > SILENT_TIMES * silent_after(in)) {
-        in->node->driver->close(in->c);
+    if (now - (in->open ? in->replied_at : in->connecting_since) >
+        SILENT_TIMES * silent_after(in)) {
+        in->node->driver->close(in->conn);
         return;
     }
     if (!in->open)
         return;
-    if (now - in->probed >= probe_every_of(in))
+    if (now - in->probed_at >= probe_every_of(in))
         ct_probe(in, now);
-    if (now - in->answered > silent_after(in) && in->health != PR_SILENT) {
+    if (now - in->replied_at > silent_after(in) && in->health != PR_SILENT) {
         report(in, PR_SILENT);
         send_probes(in->node);
         if (in->node->leading)
@@ -257,12 +258,12 @@
 
 static void inst_gone(struct ct_inst *in)
 {
-    in->gone = true;
+    in->removed = true;
     sh_drop_instance(&in->node->shares, in->id);
-    ix_drop(&in->node->inst_at, in->id);
+    ix_drop(&in->node->inst_index, in->id);
     in->node->n_insts--;
-    if (in->c)
-        in->node->driver->close(in->c);
+    if (in->conn)
+        in->node->driver->close(in->conn);
     else
         free(in);
 }
@@ -292,7 +293,7 @@
         }
         if (!next[i]) {
             next[i] = inst_new(n, g, &v->inst[i]);
-            ix_set(&n->inst_at, v->inst[i].id, ix_get(&n->group_at, g->name));
+            ix_set(&n->inst_index, v->inst[i].id, ix_get(&n->group_index, g->name));
             n->n_insts++;
         }
         sh_set_instance(&n->shares, v->inst[i].id, max_conns(n, g, &v->inst[i]),
@@ -311,9 +312,9 @@
     struct ct_group *g = sr_alloc(sizeof(*g));
     sr_copy(g->name, sizeof(g->name), sr_from(name));
     g->phase = VW_SERVING;
-    n->steering->begin(n, g);
+    n->failover->begin(n, g);
     n->groups = sr_realloc(n->groups, sizeof(*n->groups) * (size_t)(n->n_groups + 1));
-    ix_set(&n->group_at, name, n->n_groups);
+    ix_set(&n->group_index, name, n->n_groups);
     n->groups[n->n_groups++] = g;
     return g;
 }
@@ -325,11 +326,11 @@
         g = group_new(n, v->name);
     sync_instances(n, g, v);
     if (g->phase != v->phase || g->term != v->term)
-        g->phase_gen = n->view.generation;
+        g->phase_generation = n->view.generation;
     g->phase = v->phase;
     g->term = v->term;
     g->primary = v->primary;
-    g->due = true;
+    g->tick_due = true;
 }
 
 void ct_group_sync(struct ct_node *n, const char *name)
@@ -348,8 +349,8 @@
 void ct_watch_begin(struct ct_node *n)
 {
     for (int i = 0; i < n->n_groups; i++) {
-        n->steering->begin(n, n->groups[i]);
-        n->groups[i]->phase_gen = n->view.generation;
+        n->failover->begin(n, n->groups[i]);
+        n->groups[i]->phase_generation = n->view.generation;
     }
 }
 
@@ -361,7 +362,7 @@
     return map[h];
 }
 
-void ct_probes(struct ct_conn *c, const struct wr_probes *p)
+void ct_on_probes(struct ct_conn *c, const struct wr_probes *p)
 {
     struct ct_node *n = c->node;
     for (uint32_t i = 0; i < p->n; i++) {
@@ -369,30 +370,30 @@
         struct ct_group *g = group_with(n, p->probes[i].inst, id);
         if (!g)
             continue;
-        n->steering->probed(g, id, c->id, c->domain, health_of(p->probes[i].health));
+        n->failover->probed(g, id, c->id, c->domain, health_of(p->probes[i].health));
         if (n->leading && p->probes[i].health >= WR_SILENT)
             ct_group_tick(n, g);
     }
 }
 
-void ct_checked(struct ct_node *n, const struct wr_check *m)
+void ct_on_check_reply(struct ct_node *n, const struct wr_check *m)
 {
     char id[VW_NAME];
     struct ct_group *g = group_with(n, m->inst, id);
     if (!g)
         return;
-    n->steering->checked(g, m->nonce, health_of(m->health));
+    n->failover->checked(g, m->nonce, health_of(m->health));
     ct_group_tick(n, g);
 }
 
-void ct_suspected(struct ct_conn *c, const struct wr_check *m)
+void ct_on_suspect(struct ct_conn *c, const struct wr_check *m)
 {
     char id[VW_NAME];
     struct ct_node *n = c->node;
     struct ct_group *g = group_with(n, m->inst, id);
     if (!g || m->health < WR_SILENT)
         return;
-    n->steering->probed(g, id, c->id, c->domain, health_of(m->health));
+    n->failover->probed(g, id, c->id, c->domain, health_of(m->health));
     ct_group_tick(n, g);
 }
 
@@ -400,7 +401,7 @@
  * and stays so costs no message. */
 static bool worth_telling(const struct ct_inst *in, int64_t now)
 {
-    return in->health != PR_UP || now - in->changed < TELL_US;
+    return in->health != PR_UP || now - in->health_changed_at < TELL_US;
 }
 
 /* What this node's probes see goes to the leader. */
@@ -418,9 +419,9 @@
             const struct ct_inst *in = n->groups[g]->inst[i];
             if (!worth_telling(in, now))
                 continue;
-            p[k++] = (struct wr_probe){sr_from(in->id),   map[in->health],    in->said.primary,
-                                       in->said.term,     in->said.held.term, in->said.held.pos,
-                                       in->said.following};
+            p[k++] = (struct wr_probe){
+                sr_from(in->id),      map[in->health],     in->status.primary,  in->status.term,
+                in->status.held.term, in->status.held.pos, in->status.following};
         }
     }
     struct wr_msg m = {.type = WR_PROBES, .probes = {k, p}};
@@ -429,7 +430,7 @@
     free(p);
 }
 
-bool ct_caught_up(void *ud, const char *group, const char *inst)
+bool ct_replica_caught_up(void *ud, const char *group, const char *inst)
 {
     struct ct_node *n = ud;
     struct ct_group *g = ct_group_of(n, group);
@@ -448,16 +449,16 @@
  * group at once. Every group at every tick would be 7 % of a core for 940 of them. */
 static bool calm(const struct ct_node *n, const struct ct_group *g)
 {
-    if (g->phase != VW_SERVING || n->steering->busy(g) || g->primary < 0)
+    if (g->phase != VW_SERVING || n->failover->busy(g) || g->primary < 0)
         return false;
     return g->inst[g->primary]->health == PR_UP;
 }
 
 void ct_watch_tick(struct ct_node *n, int64_t now)
 {
-    int first = n->watch_next > 0 ? n->watch_next : 0;
-    n->watch_next = -1;
-    n->lines_left = LINES_A_TICK;
+    int first = n->next_group > 0 ? n->next_group : 0;
+    n->next_group = -1;
+    n->conn_changes_left = LINES_A_TICK;
     for (int k = 0; k < n->n_groups; k++) {
         int g = (first + k) % n->n_groups;
         for (int i = 0; i < n->groups[g]->n; i++)
--- a/tests/unit/test_watch.c
+++ b/tests/unit/test_watch.c
@@ -38,7 +38,7 @@
     struct ct_inst *in = c->ud;
     drv.changed++;
     drv.open--;
-    in->c = NULL;
+    in->conn = NULL;
     free(c);
 }
 
@@ -61,8 +61,8 @@
     drv.changed = drv.open = drv.refuses = 0;
     n->s = &s;
     n->driver = &driver;
-    n->steering = &steering;
-    n->outside = &outside;
+    n->failover = &steering;
+    n->platform = &outside;
     n->next_probe_report = INT64_MAX;
     n->n_groups = groups;
     n->groups = sr_alloc(sizeof(*n->groups) * (size_t)groups);
@@ -83,7 +83,7 @@
 {
     for (int g = 0; g < n->n_groups; g++) {
         for (int i = 0; i < 3; i++) {
-            free(n->groups[g]->inst[i]->c);
+            free(n->groups[g]->inst[i]->conn);
             free(n->groups[g]->inst[i]);
         }
         free(n->groups[g]);
