--- a/proxy/groups.c
+++ b/proxy/groups.c
@@ -187,7 +187,8 @@
 {
     for (int i = 0; i < p->n_groups; i++) {
         struct px_group *g = p->groups[i];
-        if (g->settle_deadline && (px_received_until(p) > g->settle_deadline || !primary_has_work(g)))
+        if (g->settle_deadline &&
+            (px_received_until(p) > g->settle_deadline || !primary_has_work(g)))
             g->settle_deadline = 0;
         for (int k = 0; k < g->cfg.n; k++)
             px_inst_tick(g->inst[k], now);
--- a/proxy/holders.c
+++ b/proxy/holders.c
@@ -33,7 +33,8 @@
 
 bool px_knows_nodes(const struct px_proxy *p)
 {
-    bool waited = p->configured_at && px_received_until(p) - p->configured_at >= NODE_LIST_WAIT_US;
+    bool waited =
+        p->configured_at && px_received_until(p) - p->configured_at >= NODE_LIST_WAIT_US;
     return p->n_nodes > 0 || waited;
 }
 
--- a/proxy/pool.c
+++ b/proxy/pool.c
@@ -370,7 +370,8 @@
 /* It has failed alone for so long that others, if they fail as well, would have shown it. */
 static bool is_confirmed_outlier(const struct px_inst *in)
 {
-    return in->outlier_since && px_received_until(in->p) - in->outlier_since > OUTLIER_CONFIRM_US;
+    return in->outlier_since &&
+           px_received_until(in->p) - in->outlier_since > OUTLIER_CONFIRM_US;
 }
 
 static bool is_behind(const struct px_inst *in, int64_t heard)
