--- a/control/commit_wait.c
+++ b/control/commit_wait.c
@@ -3,7 +3,7 @@
 #include "misc/clock.h"
 
 /* Callers give up on a node after a second without an answer; what comes later is not read. */
-enum { WAIT_US = 3000000 };
+enum { COMMIT_TIMEOUT_US = 3000000 };
 
 bool ct_may_answer(const struct ct_node *n, struct er_err *err)
 {
@@ -26,35 +26,36 @@
     return "";
 }
 
-static void finish(struct ct_commit_wait *o, const struct er_err *err)
+static void finish(struct ct_commit_wait *w, const struct er_err *err)
 {
-    struct nt_conn *c = o->conn;
-    o->index = 0;
-    o->conn = NULL;
+    struct nt_conn *c = w->conn;
+    w->index = 0;
+    w->conn = NULL;
     if (c)
-        o->done(o->node, c, err);
+        w->done(w->node, c, err);
 }
 
 static void on_close(struct nt_conn *c, void *ud, bool opened, bool refused)
 {
-    struct ct_commit_wait *o = ud;
+    struct ct_commit_wait *w = ud;
     (void)c;
     (void)opened;
     (void)refused;
-    o->conn = NULL;
+    w->conn = NULL;
 }
 
-static const struct nt_ops closing = {NULL, NULL, on_close};
+static const struct nt_ops close_ops = {NULL, NULL, on_close};
 
 void ct_await_commit(struct ct_node *n, struct nt_conn *c, uint64_t index,
                      void (*done)(struct ct_node *, struct nt_conn *, const struct er_err *))
 {
     for (int i = 0; i < CT_MAX_COMMIT_WAITS; i++) {
-        struct ct_commit_wait *o = &n->commit_waits[i];
-        if (o->index)
+        struct ct_commit_wait *w = &n->commit_waits[i];
+        if (w->index)
             continue;
-        *o = (struct ct_commit_wait){n, c, index, qr_term(n->q), ck_now() + WAIT_US, done};
-        nt_http_watch(c, &closing, o);
+        *w = (struct ct_commit_wait){n,   c, index, qr_term(n->q), ck_now() + COMMIT_TIMEOUT_US,
+                                     done};
+        nt_http_watch(c, &close_ops, w);
         return;
     }
     struct er_err err = {0};
@@ -65,21 +66,21 @@
 void ct_commit_waits_applied(struct ct_node *n, const struct qr_entry *e)
 {
     for (int i = 0; i < CT_MAX_COMMIT_WAITS; i++) {
-        struct ct_commit_wait *o = &n->commit_waits[i];
+        struct ct_commit_wait *w = &n->commit_waits[i];
         struct er_err err = {0};
-        if (!o->index || o->index > e->index)
+        if (!w->index || w->index > e->index)
             continue;
-        if (o->index != e->index || o->term != e->term)
+        if (w->index != e->index || w->term != e->term)
             er_set(&err, ER_NO_QUORUM, "another entry stands at its place in the log");
-        finish(o, &err);
+        finish(w, &err);
     }
 }
 
-static void give_up(struct ct_commit_wait *o, const char *why)
+static void give_up(struct ct_commit_wait *w, const char *why)
 {
     struct er_err err = {0};
     er_set(&err, ER_NO_QUORUM, "%s; it may be in force or not", why);
-    finish(o, &err);
+    finish(w, &err);
 }
 
 void ct_commit_waits_abort(struct ct_node *n)
--- a/control/consensus.c
+++ b/control/consensus.c
@@ -8,9 +8,9 @@
 enum {
     /* The log is replaced by a snapshot once it holds so many times its bytes: a restart then
      * applies a few documents at most, and a snapshot is written for that many changes. */
-    SNAPSHOT_TIMES = 3,
-    SNAPSHOT_LEAST_BYTES = 64 * 1024, /* a shorter log is applied within some milliseconds */
-    MAX_TEXT = 16 << 20,              /* bytes of an entry or a snapshot, inflated */
+    SNAPSHOT_LOG_FACTOR = 3,
+    SNAPSHOT_MIN_BYTES = 64 * 1024, /* a shorter log is applied within some milliseconds */
+    MAX_TEXT_BYTES = 16 << 20,      /* bytes of an entry or a snapshot, inflated */
 };
 
 static void on_send(void *ud, const struct qr_msg *m)
@@ -27,8 +27,8 @@
 
 /* ---- the history of changes ---- */
 
-static void remember(struct ct_node *n, uint64_t index, enum vw_change_kind kind,
-                     const char *text, uint32_t len)
+static void history_add(struct ct_node *n, uint64_t index, enum vw_change_kind kind,
+                        const char *text, uint32_t len)
 {
     struct ct_past_change *p = &n->history[n->n_history % CT_HISTORY_CHANGES];
     if (n->n_history >= CT_HISTORY_CHANGES)
@@ -40,7 +40,7 @@
     n->n_history++;
 }
 
-static void forget_all(struct ct_node *n, uint64_t floor)
+static void history_clear(struct ct_node *n, uint64_t floor)
 {
     for (int i = 0; i < CT_HISTORY_CHANGES; i++) {
         free(n->history[i].text);
@@ -50,7 +50,7 @@
     n->history_floor = floor;
 }
 
-static char *whole_view(const struct ct_node *n)
+static char *view_text(const struct ct_node *n)
 {
     json_t *j = vw_view_json(&n->view);
     char *text = json_dumps(j, JSON_COMPACT);
@@ -59,12 +59,12 @@
 }
 
 /* Number of the oldest change that is remembered; n->n_past if none is. */
-static uint64_t oldest_past(const struct ct_node *n)
+static uint64_t history_oldest(const struct ct_node *n)
 {
     return n->n_history > CT_HISTORY_CHANGES ? n->n_history - CT_HISTORY_CHANGES : 0;
 }
 
-static const struct ct_past_change *past_at(const struct ct_node *n, uint64_t k)
+static const struct ct_past_change *history_at(const struct ct_node *n, uint64_t k)
 {
     return &n->history[k % CT_HISTORY_CHANGES];
 }
@@ -72,9 +72,9 @@
 /* Index of the newest remembered change that is a document; 0 none. */
 static uint64_t newest_document(const struct ct_node *n)
 {
-    uint64_t oldest = oldest_past(n);
+    uint64_t oldest = history_oldest(n);
     for (uint64_t k = n->n_history; k > oldest; k--) {
-        const struct ct_past_change *p = past_at(n, k - 1);
+        const struct ct_past_change *p = history_at(n, k - 1);
         if (p->document)
             return p->index;
     }
@@ -91,15 +91,15 @@
     *from_out = from;
     if (ct_needs_whole_view(n, from)) {
         *from_out = 0;
-        return whole_view(n);
+        return view_text(n);
     }
     struct sr_buf b = {0};
-    uint64_t oldest = oldest_past(n), newest = newest_document(n), k = n->n_history;
-    while (k > oldest && past_at(n, k - 1)->index > from)
+    uint64_t oldest = history_oldest(n), newest = newest_document(n), k = n->n_history;
+    while (k > oldest && history_at(n, k - 1)->index > from)
         k--;
     sr_buf_add(&b, "[", 1);
     for (; k < n->n_history; k++) {
-        const struct ct_past_change *p = past_at(n, k);
+        const struct ct_past_change *p = history_at(n, k);
         if (p->document && p->index < newest)
             continue; /* a document replaces the one before as a whole */
         sr_buf_printf(&b, "%s[%llu,%s]", b.len > 1 ? "," : "", (unsigned long long)p->index,
@@ -111,7 +111,7 @@
 
 /* ---- applying ---- */
 
-static void note_change(struct ct_node *n, const struct vw_change *ch)
+static void add_to_timeline(struct ct_node *n, const struct vw_change *ch)
 {
     static const enum tl_kind kinds[VW_CH_COUNT] = {
         [VW_CH_GROUP] = TL_CHANGE,   [VW_CH_REPLACE] = TL_REPLACE, [VW_CH_HAND] = TL_REPLACE,
@@ -128,10 +128,10 @@
 }
 
 /* An entry's or a snapshot's text, and what it says; NULL if it can't be read. */
-static json_t *read_text(const char *data, uint32_t len, struct sr_buf *text,
-                         struct er_err *err)
+static json_t *parse_text(const char *data, uint32_t len, struct sr_buf *text,
+                          struct er_err *err)
 {
-    if (!pk_unpack((struct sr_str){data, len}, MAX_TEXT, text, err))
+    if (!pk_unpack((struct sr_str){data, len}, MAX_TEXT_BYTES, text, err))
         return NULL;
     json_t *j = json_loadb(text->p ? text->p : "", text->len, 0, NULL);
     if (!j)
@@ -144,7 +144,7 @@
     struct vw_change ch;
     struct er_err err = {0};
     struct sr_buf text = {0};
-    json_t *j = read_text(data, len, &text, &err);
+    json_t *j = parse_text(data, len, &text, &err);
     bool ok = j && vw_change_parse(j, &ch, &err);
     if (!ok) {
         FL_ERR(&n->log, "entry %llu is no change: %s", (unsigned long long)index, err.text);
@@ -153,8 +153,8 @@
     n->counters.applied++;
     n->applied_bytes += text.len;
     if (vw_apply(&n->view, index, &ch, &err)) {
-        remember(n, index, ch.kind, text.p, (uint32_t)text.len);
-        note_change(n, &ch);
+        history_add(n, index, ch.kind, text.p, (uint32_t)text.len);
+        add_to_timeline(n, &ch);
         n->document_pending = n->document_pending || ch.kind == VW_CH_DOCUMENT;
         ct_group_sync(n, ch.kind == VW_CH_GROUP ? ch.def.name : ch.group);
         if (n->leading) {
@@ -192,7 +192,7 @@
 {
     struct er_err err = {0};
     struct sr_buf text = {0};
-    json_t *j = read_text(data, len, &text, &err);
+    json_t *j = parse_text(data, len, &text, &err);
     if (!j || !vw_view_parse(j, &n->view, &err))
         FL_ERR(&n->log, "snapshot: %s", err.text);
     n->snapshot_bytes = text.len;
@@ -204,7 +204,7 @@
 {
     struct ct_node *n = ud;
     ct_restore_view(n, data, len);
-    forget_all(n, n->view.generation);
+    history_clear(n, n->view.generation);
     n->applied_bytes = 0;
     ct_load_document(n);
     ct_groups_sync(n);
@@ -276,9 +276,9 @@
     uint64_t commit = qr_commit(n->q), first = qr_first(n->q);
     if (commit < first)
         return false;
-    uint64_t bytes = n->snapshot_bytes * SNAPSHOT_TIMES;
-    if (bytes < SNAPSHOT_LEAST_BYTES)
-        bytes = SNAPSHOT_LEAST_BYTES;
+    uint64_t bytes = n->snapshot_bytes * SNAPSHOT_LOG_FACTOR;
+    if (bytes < SNAPSHOT_MIN_BYTES)
+        bytes = SNAPSHOT_MIN_BYTES;
     return commit - first >= (uint64_t)n->s->snapshot_entries || n->applied_bytes > bytes;
 }
 
--- a/control/control.c
+++ b/control/control.c
@@ -9,10 +9,10 @@
 
 enum {
     TICK_US = 5000,
-    STOP_US = 1000000,
+    STOP_TIMEOUT_US = 1000000,
     /* The platform's instances drop a connection whose far end is dark after 3 s (its pages).
      */
-    OUTSIDE_FORGET_US = 3000000,
+    PLATFORM_FORGET_US = 3000000,
 };
 
 bool ct_quorum_confirmed(const struct ct_node *n)
@@ -50,7 +50,7 @@
     }
 }
 
-static void begin(struct ct_node *n, int64_t now)
+static void begin_leading(struct ct_node *n, int64_t now)
 {
     bool first = n->view.generation == 0;
     n->leading = true;
@@ -64,10 +64,10 @@
     ls_giver_begin(&n->leases, CK_MS(n->s->lease_ms), now, first);
     /* Instances that count their connections themselves refuse one too many, at the cost of a
      * try: a new leader need not wait for its predecessor's shares. */
-    bool waits = !first && !n->platform;
-    sh_begin(&n->shares, waits ? now + CK_MS(n->s->lease_ms) * 11 / 10 : now);
+    bool await_shares = !first && !n->platform;
+    sh_begin(&n->shares, await_shares ? now + CK_MS(n->s->lease_ms) * 11 / 10 : now);
     ct_limits_begin(n, first, now);
-    n->shares.forget_us = n->platform ? OUTSIDE_FORGET_US : 0;
+    n->shares.forget_us = n->platform ? PLATFORM_FORGET_US : 0;
     ct_watch_begin(n);
     ct_groups_sync(n);
     for (struct ct_conn *c = n->conns; c; c = c->next) {
@@ -84,7 +84,7 @@
         propose_groups(n);
 }
 
-static void force_tick(struct ct_node *n, int64_t now)
+static void measure_time_to_force(struct ct_node *n, int64_t now)
 {
     if (!n->leading || !n->measured_generation || !ct_in_force(n, n->measured_generation))
         return;
@@ -94,7 +94,7 @@
 
 /* ---- time, disk, stopping ---- */
 
-static void end(struct ct_node *n, bool failed)
+static void finish_stop(struct ct_node *n, bool failed)
 {
     nt_timer_cancel(&n->tick);
     nt_timer_cancel(&n->soon);
@@ -103,7 +103,7 @@
 
 /* A voter whose disk has no room stays: it acknowledges and votes for nothing that it can't
  * keep, so others decide without it, and it goes on by itself once there is room. */
-static void note_room(struct ct_node *n)
+static void check_disk_space(struct ct_node *n)
 {
     struct er_err err = {0};
     bool full = dk_full(n->disk, &err);
@@ -132,10 +132,10 @@
                  "%s; this voter stops: free or replace the disk, then start it again (its "
                  "folder is good up to the last sync) or replace it",
                  err.text);
-        end(n, true);
+        finish_stop(n, true);
         return;
     }
-    note_room(n);
+    check_disk_space(n);
     qr_persisted(n->q, dk_done(n->disk), ck_now());
 }
 
@@ -156,10 +156,10 @@
     if (n->document_pending)
         ct_load_document(n);
     if (!n->leading && ct_quorum_confirmed(n))
-        begin(n, now);
+        begin_leading(n, now);
     ct_peers_tick(n, now);
     ct_watch_tick(n, now);
-    force_tick(n, now);
+    measure_time_to_force(n, now);
     ct_nodes_tick(n, now);
     ct_intents_tick(n, now);
     ct_platform_tick(n, now);
@@ -169,7 +169,7 @@
     ct_log_traffic(n, now);
     ct_compact_tick(n);
     if (n->stopping && (qr_role(n->q) != QR_LEADER || now > n->stop_by)) {
-        end(n, false);
+        finish_stop(n, false);
         return;
     }
     if (n->stopping || n->disk_full)
@@ -180,7 +180,7 @@
 void ct_stop(struct ct_node *n)
 {
     n->stopping = true;
-    n->stop_by = ck_now() + STOP_US;
+    n->stop_by = ck_now() + STOP_TIMEOUT_US;
     tl_add(n->tl, TL_STOP, "", 0, "planned stop");
 }
 
@@ -188,18 +188,18 @@
 
 /* The first voters' identities follow from the cluster's and their names, so that they can be
  * told to one another before any of them runs. */
-static uint64_t first_identity(const struct st_settings *s, const char *name)
+static uint64_t initial_identity(const struct st_settings *s, const char *name)
 {
     uint64_t h = XXH64(s->cluster, strlen(s->cluster), 7);
     return XXH64(name, strlen(name), h) | 1;
 }
 
-static void first_members(const struct st_settings *s, struct qr_members *m)
+static void initial_members(const struct st_settings *s, struct qr_members *m)
 {
     for (int i = 0; i < s->n_voters; i++) {
         struct qr_member *x = &m->m[m->n++];
         const struct st_peer *p = &s->voters[i];
-        x->id = first_identity(s, p->name);
+        x->id = initial_identity(s, p->name);
         x->voter = true;
         x->port = p->port;
         sr_copy(x->name, sizeof(x->name), sr_from(p->name));
@@ -222,8 +222,8 @@
                        struct er_err *err)
 {
     const struct st_settings *s = n->s;
-    bool among = !s->registers || is_seed(s);
-    uint64_t wanted = bootstrap && among ? first_identity(s, s->name) : 0;
+    bool may_found = !s->registers || is_seed(s);
+    uint64_t wanted = bootstrap && may_found ? initial_identity(s, s->name) : 0;
     n->store = so_open(s->data, s->cluster, wanted, disk, err);
     if (!n->store)
         return false;
@@ -238,15 +238,15 @@
                 s->data, (unsigned long long)n->id);
     /* One of the first voters, without a snapshot: the list is that of the settings, as they
      * were then. */
-    bool founder = n->id == first_identity(s, s->name);
+    bool founder = n->id == initial_identity(s, s->name);
     if (!founder || disk->restore.snap_index != 0)
         return true;
     if (!s->registers) {
-        first_members(s, &disk->restore.members);
+        initial_members(s, &disk->restore.members);
         return true;
     }
     if (bootstrap && disk->fresh)
-        first_members(s, &disk->restore.members);
+        initial_members(s, &disk->restore.members);
     return ct_initial_voters(n, bootstrap && disk->fresh, &disk->restore.members, err);
 }
 
--- a/control/control.h
+++ b/control/control.h
@@ -369,7 +369,8 @@
 void ct_send_controls(struct ct_conn *c);
 
 /* initial_voters.c: the first voters, as they were when the cluster was made */
-bool ct_initial_voters(struct ct_node *n, bool found, struct qr_members *m, struct er_err *err);
+bool ct_initial_voters(struct ct_node *n, bool create, struct qr_members *m,
+                       struct er_err *err);
 
 /* ops.c */
 /* Log what links and calls were used for, now and then. */
--- a/control/documents.c
+++ b/control/documents.c
@@ -4,7 +4,7 @@
 #include "member/member.h"
 #include "misc/clock.h"
 
-static int voters(const struct ct_node *n)
+static int count_voters(const struct ct_node *n)
 {
     const struct qr_members *m = qr_members(n->q);
     int k = 0;
@@ -37,9 +37,9 @@
     }
     if (ch.version <= n->view.doc.version)
         return true; /* the higher one holds; this one changes nothing */
-    if (voters(n) < mb_needed(n->s->tolerates))
+    if (count_voters(n) < mb_needed(n->s->tolerates))
         return er_set(err, ER_NO_QUORUM, "%d voters, expected %d before anything is promised",
-                      voters(n), mb_needed(n->s->tolerates));
+                      count_voters(n), mb_needed(n->s->tolerates));
     if (!ct_propose_unconfirmed(n, &ch, &index, err))
         return false;
     ct_await_commit(n, c, index, done);
--- a/control/initial_voters.c
+++ b/control/initial_voters.c
@@ -7,9 +7,9 @@
 
 #include "control/control.h"
 
-enum { PATH = 320, TEXT = 8192 };
+enum { MAX_PATH_BYTES = 320, MAX_TEXT_BYTES = 8192 };
 
-static bool fail(const char *path, struct er_err *err)
+static bool disk_error(const char *path, struct er_err *err)
 {
     return er_set(err, ER_DISK, "%s: %s", path, strerror(errno));
 }
@@ -53,29 +53,29 @@
 /* Written beside, synced, renamed, and the folder synced: it is there whole or not at all. */
 static bool write_file(const char *dir, const char *path, const char *text, struct er_err *err)
 {
-    char tmp[PATH + 8];
+    char tmp[MAX_PATH_BYTES + 8];
     snprintf(tmp, sizeof(tmp), "%s.new", path);
     int fd = open(tmp, O_WRONLY | O_CREAT | O_TRUNC, 0600);
     if (fd < 0)
-        return fail(tmp, err);
+        return disk_error(tmp, err);
     size_t len = strlen(text);
     bool ok = write(fd, text, len) == (ssize_t)len && fsync(fd) == 0;
     ok = close(fd) == 0 && ok;
     if (!ok || rename(tmp, path) != 0)
-        return fail(path, err);
+        return disk_error(path, err);
     fd = open(dir, O_RDONLY | O_DIRECTORY);
     if (fd < 0)
-        return fail(dir, err);
+        return disk_error(dir, err);
     ok = fsync(fd) == 0;
     close(fd);
-    return ok || fail(dir, err);
+    return ok || disk_error(dir, err);
 }
 
-bool ct_initial_voters(struct ct_node *n, bool found, struct qr_members *m, struct er_err *err)
+bool ct_initial_voters(struct ct_node *n, bool create, struct qr_members *m, struct er_err *err)
 {
-    char path[PATH], text[TEXT];
+    char path[MAX_PATH_BYTES], text[MAX_TEXT_BYTES];
     snprintf(path, sizeof(path), "%s/founders", n->s->data);
-    if (found) {
+    if (create) {
         char *s = members_text(m);
         bool ok = write_file(n->s->data, path, s, err);
         free(s);
@@ -85,11 +85,11 @@
     if (fd < 0 && errno == ENOENT)
         return true; /* it lost power before its first start was done: the others know it */
     if (fd < 0)
-        return fail(path, err);
+        return disk_error(path, err);
     ssize_t len = read(fd, text, sizeof(text) - 1);
     close(fd);
     if (len < 0)
-        return fail(path, err);
+        return disk_error(path, err);
     text[len] = 0;
     return parse(text, m, path, err);
 }
--- a/control/intents.c
+++ b/control/intents.c
@@ -2,7 +2,7 @@
 #include "control/control.h"
 #include "misc/clock.h"
 
-enum { EVERY_US = 50000 };
+enum { INTENT_INTERVAL_US = 50000 };
 
 static bool learner_ready(void *ud, uint64_t id)
 {
@@ -23,7 +23,7 @@
         FL_WARN(&n->log, "intent %s: %s", it->id, err.text);
 }
 
-static void take(struct ct_node *n, const struct vw_intent *it, const struct it_action *a)
+static void perform(struct ct_node *n, const struct vw_intent *it, const struct it_action *a)
 {
     struct er_err err = {0};
     int64_t now = ck_now();
@@ -55,7 +55,7 @@
         FL_VERBOSE(&n->log, "intent %s: %s; tried again", it->id, err.text);
 }
 
-static void step(struct ct_node *n, const struct vw_intent *it, const struct it_facts *f)
+static void advance(struct ct_node *n, const struct vw_intent *it, const struct it_facts *f)
 {
     struct it_request r;
     struct it_action a;
@@ -68,12 +68,12 @@
         return;
     }
     it_next(&n->view, &r, f, &a);
-    take(n, it, &a);
+    perform(n, it, &a);
 }
 
 /* Whether every entry node has acted on the current view for a few probes: what the probes say
  * since then counts. */
-static bool in_force_long(struct ct_node *n, int64_t now)
+static bool in_force_settled(struct ct_node *n, int64_t now)
 {
     if (!ct_in_force(n, n->view.generation)) {
         n->in_force_since = 0;
@@ -89,19 +89,19 @@
     if (!n->leading || !ct_quorum_confirmed(n))
         return;
     struct it_facts f = {.caught_up = ct_replica_caught_up,
-                         .in_force = in_force_long(n, now),
+                         .in_force = in_force_settled(n, now),
                          .settled = now >= n->shares.quiet_until,
                          .members = qr_members(n->q),
                          .learner_ready = learner_ready,
                          .ud = n};
     if (now < n->next_intent || qr_commit(n->q) < n->step_index)
         return;
-    n->next_intent = now + EVERY_US;
+    n->next_intent = now + INTENT_INTERVAL_US;
     for (int i = 0; i < n->view.n_intents; i++) {
         if (n->view.intents[i].state != VW_RUNNING)
             continue;
         struct vw_intent it = n->view.intents[i]; /* the view may move under it */
-        step(n, &it, &f);
+        advance(n, &it, &f);
         if (qr_commit(n->q) < n->step_index)
             return; /* one proposal at a time */
     }
--- a/control/members.c
+++ b/control/members.c
@@ -6,7 +6,7 @@
 #include "member/member.h"
 #include "misc/clock.h"
 
-enum { EVERY_US = 100000 };
+enum { MEMBER_INTERVAL_US = 100000 };
 
 static void add_members(struct ct_node *n, struct mb_state *s, int64_t now)
 {
@@ -25,7 +25,7 @@
     }
 }
 
-static bool listed(const struct mb_state *s, uint64_t id)
+static bool has_node(const struct mb_state *s, uint64_t id)
 {
     for (int i = 0; i < s->n; i++) {
         if (s->node[i].id == id)
@@ -43,16 +43,16 @@
     return NULL;
 }
 
-static void add_strangers(struct ct_node *n, struct mb_state *s)
+static void add_non_members(struct ct_node *n, struct mb_state *s)
 {
     for (struct ct_conn *c = n->conns; c && s->n < MB_MAX; c = c->next) {
-        if (!c->greeted || c->role != WR_ROLE_CONTROL || listed(s, c->id))
+        if (!c->greeted || c->role != WR_ROLE_CONTROL || has_node(s, c->id))
             continue;
         s->node[s->n++] = (struct mb_node){.id = c->id, .ip = c->ip, .connected = true};
     }
 }
 
-static bool add(struct ct_node *n, uint64_t id, int64_t now, struct er_err *err)
+static bool add_learner(struct ct_node *n, uint64_t id, int64_t now, struct er_err *err)
 {
     const struct ct_conn *c = control_conn(n, id);
     struct qr_member m = {.id = id, .port = c->port};
@@ -62,7 +62,7 @@
     return qr_add_learner(n->q, &m, now, err);
 }
 
-static void carry_out(struct ct_node *n, const struct mb_action *a, int64_t now)
+static void apply_action(struct ct_node *n, const struct mb_action *a, int64_t now)
 {
     static const char *const names[] = {"", "learns", "votes", "removed"};
     struct er_err err = {0};
@@ -71,7 +71,7 @@
     case MB_NONE:
         return;
     case MB_ADD:
-        ok = add(n, a->id, now, &err);
+        ok = add_learner(n, a->id, now, &err);
         break;
     case MB_VOTER:
         ok = qr_promote_learner(n->q, a->id, now, &err);
@@ -91,16 +91,16 @@
 {
     if (!n->s->registers || now < n->next_member_tick)
         return;
-    n->next_member_tick = now + EVERY_US;
+    n->next_member_tick = now + MEMBER_INTERVAL_US;
     for (struct ct_conn *c = n->conns; c; c = c->next)
         ct_send_controls(c);
     if (!n->leading || !ct_quorum_confirmed(n))
         return;
     struct mb_state s = {.self = n->id, .tolerates = n->s->tolerates};
     add_members(n, &s, now);
-    add_strangers(n, &s);
+    add_non_members(n, &s);
     struct mb_action a = mb_next(&s);
-    carry_out(n, &a, now);
+    apply_action(n, &a, now);
 }
 
 void ct_send_controls(struct ct_conn *c)
--- a/control/nodes.c
+++ b/control/nodes.c
@@ -5,16 +5,16 @@
 #include "misc/clock.h"
 
 enum {
-    MAX_VIEWS_QUEUED = 8 << 20,
-    NODES_EVERY_US = 100000,
+    MAX_QUEUED_VIEW_BYTES = 8 << 20,
+    NODE_LIST_INTERVAL_US = 100000,
     /* A quorum's answer to a heartbeat is late if none that is younger than so many was
      * answered: one is under way always, and elections wait for four (their settings'
      * defaults). */
-    LATE_HEARTBEATS = 2,
+    LATE_HEARTBEAT_INTERVALS = 2,
     /* A node whose lease ran out is listed so long while its connection is there: it is stalled
      * or behind a slow link and comes back, and each change of the list moves groups and with
      * them sessions. Origin: above the time in which a dark peer's connection ends (2.5 s). */
-    NODES_KEPT_US = 3000000,
+    LISTED_AFTER_LEASE_US = 3000000,
     /* Nodes that start together come to a new leader one after the other, and each change of
      * the list moves groups: none has come for so long. Two trips and a lease between domains.
      */
@@ -57,17 +57,17 @@
 }
 
 /* Whether the node is to learn the newest changes with the next batch. */
-static bool batch_waits(const struct ct_conn *c)
+static bool batch_pending(const struct ct_conn *c)
 {
     return c->node->unsent_changes.waits && c->sent_generation;
 }
 
 /* Whether the newest view goes out to the node later, and it acts on the one before meanwhile.
  */
-static bool view_waits(const struct ct_conn *c, int64_t now)
+static bool view_deferred(const struct ct_conn *c, int64_t now)
 {
     int64_t lease = CK_MS(c->node->s->lease_ms);
-    return batch_waits(c) ||
+    return batch_pending(c) ||
            (c->sent_generation && pv_keeps_lease(&c->pending_view, lease, now));
 }
 
@@ -77,11 +77,11 @@
 {
     struct ct_node *n = c->node;
     uint64_t from = c->sent_generation > has ? c->sent_generation : has;
-    if (from >= n->view.generation || batch_waits(c) ||
+    if (from >= n->view.generation || batch_pending(c) ||
         !pv_try_send(&c->pending_view, &n->pace, ck_now()))
         return;
     bool whole = ct_needs_whole_view(n, from);
-    if (whole && views_queued(n) > MAX_VIEWS_QUEUED)
+    if (whole && views_queued(n) > MAX_QUEUED_VIEW_BYTES)
         return;
     const struct ct_cached_frame *f = view_frame(n, from, whole);
     n->counters.views++;
@@ -108,25 +108,25 @@
 void ct_push_view(struct ct_node *n)
 {
     for (struct ct_conn *c = n->conns; c; c = c->next) {
-        bool knows = c->greeted && c->role == WR_ROLE_ENTRY;
-        if (knows && (c->sent_generation || c->pending_view.waiting))
+        bool is_entry = c->greeted && c->role == WR_ROLE_ENTRY;
+        if (is_entry && (c->sent_generation || c->pending_view.waiting))
             send_view(c, c->sent_generation);
     }
 }
 
 /* Instances that come and go: many at once, and callers are served meanwhile. */
-static bool can_wait(enum vw_change_kind kind)
+static bool may_defer(enum vw_change_kind kind)
 {
     return kind == VW_CH_JOIN || kind == VW_CH_LEAVE || kind == VW_CH_DRAIN;
 }
 
 void ct_view_changed(struct ct_node *n, enum vw_change_kind kind)
 {
-    if (vp_changed(&n->unsent_changes, can_wait(kind), n->n_conns, ck_now()))
+    if (vp_changed(&n->unsent_changes, may_defer(kind), n->n_conns, ck_now()))
         ct_push_view(n);
 }
 
-static void take_shares(struct ct_conn *c, const struct wr_renew *r, int64_t now)
+static void record_shares(struct ct_conn *c, const struct wr_renew *r, int64_t now)
 {
     struct ct_node *n = c->node;
     int64_t until = r->stopping ? now : now + n->leases.lease_us;
@@ -134,9 +134,9 @@
         char id[VW_NAME];
         if (!sr_copy(id, sizeof(id), r->shares[i].inst))
             continue;
-        bool news = sh_report(&n->shares, id, c->id, (int)r->shares[i].held,
-                              (int)r->shares[i].want, r->shares_seq, until, now);
-        if (news)
+        bool changed = sh_report(&n->shares, id, c->id, (int)r->shares[i].held,
+                                 (int)r->shares[i].want, r->shares_seq, until, now);
+        if (changed)
             sh_balance(&n->shares, id, now);
     }
 }
@@ -154,8 +154,8 @@
         permits = ct_limits_on_renew(n, c->id, r, n->shares_seq + 1, p);
     for (uint32_t i = 0; i < r->n; i++) {
         char id[VW_NAME];
-        bool named = sr_copy(id, sizeof(id), r->shares[i].inst);
-        if (!named || (c->shares_sent && !sh_untold(&n->shares, id, c->id)))
+        bool valid = sr_copy(id, sizeof(id), r->shares[i].inst);
+        if (!valid || (c->shares_sent && !sh_untold(&n->shares, id, c->id)))
             continue;
         s[k++] = (struct wr_share){
             .inst = r->shares[i].inst,
@@ -175,27 +175,27 @@
 static bool is_listed(const struct ct_conn *c, int64_t now)
 {
     bool entry = c->greeted && c->role == WR_ROLE_ENTRY && c->port && !c->leaving;
-    return entry && ls_node_live(&c->node->leases, c->id, now - NODES_KEPT_US);
+    return entry && ls_node_live(&c->node->leases, c->id, now - LISTED_AFTER_LEASE_US);
 }
 
 /* A new leader knows of no lease at first: until all that are connected have one, or a lease's
  * time is over, the lists that its predecessor sent are better. */
-static bool list_settled(const struct ct_node *n, int64_t now)
+static bool node_list_settled(const struct ct_node *n, int64_t now)
 {
     if (now - n->leading_since >= CK_MS(n->s->lease_ms))
         return true;
-    bool starts = now - n->leading_since < CK_MS(n->s->election_ms);
-    if (starts && now - n->node_joined_at < JOIN_PAUSE_US)
+    bool elected_recently = now - n->leading_since < CK_MS(n->s->election_ms);
+    if (elected_recently && now - n->node_joined_at < JOIN_PAUSE_US)
         return false;
     for (const struct ct_conn *c = n->conns; c; c = c->next) {
-        bool waited_for = c->greeted && c->role == WR_ROLE_ENTRY && !c->leaving;
-        if (waited_for && !is_listed(c, now))
+        bool lease_expected = c->greeted && c->role == WR_ROLE_ENTRY && !c->leaving;
+        if (lease_expected && !is_listed(c, now))
             return false;
     }
     return true;
 }
 
-static bool list_node(const struct ct_conn *c, struct ho_node *x)
+static bool fill_node(const struct ct_conn *c, struct ho_node *x)
 {
     *x = (struct ho_node){.port = c->port, .carries = c->carries};
     return sr_copy(x->name, sizeof(x->name), sr_from(c->name)) &&
@@ -204,16 +204,16 @@
 }
 
 /* The entry nodes that are listed; made at most every NODES_EVERY_US, for all that ask. */
-static void make_nodes(struct ct_node *n, int64_t now)
+static void build_node_list(struct ct_node *n, int64_t now)
 {
     int k = 0;
-    if (n->nodes_built_at && now - n->nodes_built_at < NODES_EVERY_US)
+    if (n->nodes_built_at && now - n->nodes_built_at < NODE_LIST_INTERVAL_US)
         return;
     n->nodes_built_at = now;
     struct ho_node *list = sr_alloc(sizeof(*list) * HO_MAX_NODES);
     for (struct ct_conn *c = n->conns; c && k < HO_MAX_NODES; c = c->next) {
         if (is_listed(c, now))
-            k += list_node(c, &list[k]);
+            k += fill_node(c, &list[k]);
     }
     uint64_t hash = nl_sort(list, k);
     nl_note(&n->nodes, list, k, hash);
@@ -226,23 +226,23 @@
                             (uint32_t)x->port, (uint32_t)x->carries};
 }
 
-static void encode_nodes(const struct nl_change *ch, bool told, struct sr_buf *out)
+static void encode_nodes(const struct nl_change *ch, bool known, struct sr_buf *out)
 {
-    struct wr_node *came = sr_alloc(sizeof(*came) * (size_t)(ch->n_came + 1));
+    struct wr_node *added = sr_alloc(sizeof(*added) * (size_t)(ch->n_came + 1));
     struct sr_str *gone = sr_alloc(sizeof(*gone) * (size_t)(ch->n_gone + 1));
     struct wr_msg m = {.type = WR_NODES,
                        .nodes = {.n = (uint32_t)ch->n_came,
-                                 .nodes = came,
+                                 .nodes = added,
                                  .from = ch->from,
-                                 .to = told ? ch->to : 0,
+                                 .to = known ? ch->to : 0,
                                  .n_gone = (uint32_t)ch->n_gone,
                                  .gone = gone}};
     for (int i = 0; i < ch->n_came; i++)
-        came[i] = wire_node(ch->came[i]);
+        added[i] = wire_node(ch->came[i]);
     for (int i = 0; i < ch->n_gone; i++)
         gone[i] = sr_from(ch->gone[i]);
     wr_encode(out, &m);
-    free(came);
+    free(added);
     free(gone);
 }
 
@@ -267,9 +267,9 @@
 static void send_nodes(struct ct_conn *to, int64_t now)
 {
     struct ct_node *n = to->node;
-    if (!to->reported_nodes || !list_settled(n, now))
+    if (!to->reported_nodes || !node_list_settled(n, now))
         return;
-    make_nodes(n, now);
+    build_node_list(n, now);
     if (nl_newest(&n->nodes)->hash == to->nodes_hash)
         return;
     const struct ct_cached_frame *f = nodes_frame(n, to->nodes_hash);
@@ -284,7 +284,7 @@
 
 /* Which list a node has counts, not what it was sent: it may not have taken that. What was sent
  * a moment ago may still be on its way. */
-static void note_nodes(struct ct_conn *c, uint64_t has, int64_t now)
+static void note_node_list(struct ct_conn *c, uint64_t has, int64_t now)
 {
     bool late = now - c->nodes_sent_at > CK_MS(c->node->s->lease_ms) / 2;
     if (!c->reported_nodes || late)
@@ -293,13 +293,13 @@
 }
 
 /* Views that the pace held back. */
-static void push_tick(struct ct_node *n, int64_t now)
+static void push_deferred_views(struct ct_node *n, int64_t now)
 {
-    int64_t heard = qr_vouched_until(n->q) - CK_MS(n->s->election_ms);
-    int64_t late = CK_MS(n->s->heartbeat_ms) * LATE_HEARTBEATS;
-    bool held = !vp_may(&n->pace);
-    vp_tick(&n->pace, now - heard, late, now);
-    if (held && vp_may(&n->pace))
+    int64_t confirmed_at = qr_vouched_until(n->q) - CK_MS(n->s->election_ms);
+    int64_t late = CK_MS(n->s->heartbeat_ms) * LATE_HEARTBEAT_INTERVALS;
+    bool was_held = !vp_may(&n->pace);
+    vp_tick(&n->pace, now - confirmed_at, late, now);
+    if (was_held && vp_may(&n->pace))
         ct_push_view(n);
 }
 
@@ -308,9 +308,9 @@
     if (n->leading && vp_news_due(&n->unsent_changes, n->n_conns, now))
         ct_push_view(n);
     if (n->leading)
-        push_tick(n, now);
-    bool tells = n->leading && (n->s->holders || n->s->registers);
-    if (!tells || now - n->nodes_built_at < NODES_EVERY_US)
+        push_deferred_views(n, now);
+    bool sends_lists = n->leading && (n->s->holders || n->s->registers);
+    if (!sends_lists || now - n->nodes_built_at < NODE_LIST_INTERVAL_US)
         return;
     for (struct ct_conn *c = n->conns; c; c = c->next) {
         if (c->greeted && c->role == WR_ROLE_ENTRY)
@@ -318,7 +318,7 @@
     }
 }
 
-static void not_leader(struct ct_conn *c)
+static void send_not_leader(struct ct_conn *c)
 {
     struct wr_msg m = {.type = WR_NOT_LEADER};
     m.leader = sr_from(ct_member_name(c->node, qr_leader(c->node->q)));
@@ -333,7 +333,7 @@
 }
 
 /* The part of the answer that every renewal gets. */
-static struct wr_msg granted(struct ct_node *n, const struct wr_renew *r)
+static struct wr_msg make_grant(struct ct_node *n, const struct wr_renew *r)
 {
     struct wr_msg m = {.type = WR_GRANT};
     m.grant.seq = r->seq;
@@ -343,9 +343,9 @@
 
 /* An observer sends callers here for a while. That is no lease: a node that does not lead any
  * more sends them on, and nothing has to wait until an observer knows. */
-static void tell_observer(struct ct_conn *c, const struct wr_renew *r)
+static void grant_observer(struct ct_conn *c, const struct wr_renew *r)
 {
-    struct wr_msg m = granted(c->node, r);
+    struct wr_msg m = make_grant(c->node, r);
     m.grant.duration_ms = (uint32_t)c->node->s->lease_ms;
     ct_send_conn(c, &m);
 }
@@ -357,14 +357,14 @@
     ck_hlc_seen(&n->tl->hlc, r->hlc);
     if (!n->leading || !ct_quorum_confirmed(n)) {
         n->counters.refused_grants++;
-        not_leader(c);
+        send_not_leader(c);
         return;
     }
     if (c->role == WR_ROLE_OBSERVER) {
-        tell_observer(c, r);
+        grant_observer(c, r);
         return;
     }
-    struct wr_msg m = granted(n, r);
+    struct wr_msg m = make_grant(n, r);
     if (!ls_node_live(&n->leases, c->id, now))
         n->node_joined_at = now;
     int64_t us = r->stopping ? 0 : ls_grant(&n->leases, c->id, qr_vouched_until(n->q), now);
@@ -379,10 +379,10 @@
     ls_acked(&n->leases, c->id, r->generation);
     note_generation(c, r->generation, now);
     send_view(c, r->generation);
-    m.grant.generation = view_waits(c, now) ? c->sent_generation : n->view.generation;
-    take_shares(c, r, now);
+    m.grant.generation = view_deferred(c, now) ? c->sent_generation : n->view.generation;
+    record_shares(c, r, now);
     send_shares(c, r);
-    note_nodes(c, r->nodes, now);
+    note_node_list(c, r->nodes, now);
     if (n->s->holders || n->s->registers)
         send_nodes(c, now);
     ct_send_conn(c, &m);
@@ -393,12 +393,12 @@
     struct wr_msg m = {.type = WR_CHECK};
     m.check.nonce = nonce;
     m.check.inst = sr_from(inst);
-    int asked = 0;
+    int sent = 0;
     for (struct ct_conn *c = n->conns; c; c = c->next) {
         if (!c->greeted || c->role != WR_ROLE_ENTRY)
             continue;
         ct_send_conn(c, &m);
-        asked++;
+        sent++;
     }
-    return asked;
+    return sent;
 }
--- a/control/ops.c
+++ b/control/ops.c
@@ -4,9 +4,9 @@
 #include "control/control.h"
 #include "misc/clock.h"
 
-enum { WAIT_US = 5000000, TELL_TRAFFIC_US = 10000000 };
+enum { COMMIT_TIMEOUT_US = 5000000, TRAFFIC_LOG_INTERVAL_US = 10000000 };
 
-static void reply(struct nt_conn *c, int status, json_t *o)
+static void send_json(struct nt_conn *c, int status, json_t *o)
 {
     char *s = json_dumps(o, JSON_COMPACT);
     nt_http_reply(c, status, "application/json", s, strlen(s));
@@ -14,12 +14,12 @@
     json_decref(o);
 }
 
-static void reply_err(struct ct_node *n, struct nt_conn *c, const struct er_err *e)
+static void send_error(struct ct_node *n, struct nt_conn *c, const struct er_err *e)
 {
     json_t *o = json_pack("{s:s,s:s}", "reason", er_name(e->kind), "detail", e->text);
     if (e->kind == ER_NOT_LEADER)
         json_object_set_new(o, "leader", json_string(ct_member_name(n, qr_leader(n->q))));
-    reply(c, er_http(e->kind), o);
+    send_json(c, er_http(e->kind), o);
 }
 
 /* ---- reading ---- */
@@ -70,14 +70,14 @@
     return o;
 }
 
-static void put_shares(struct sr_buf *b, const struct sh_table *t)
+static void write_shares(struct sr_buf *b, const struct sh_table *t)
 {
     for (int i = 0; i < t->n; i++)
         sr_buf_printf(b, "ferry_control_shares{instance=\"%s\"} %d\n", t->inst[i].id,
                       sh_counted(t, t->inst[i].id));
 }
 
-static void put_counters(struct sr_buf *b, const struct ct_node *n)
+static void write_counters(struct sr_buf *b, const struct ct_node *n)
 {
     uint64_t syncs;
     int64_t longest;
@@ -132,12 +132,12 @@
 
 void ct_log_traffic(struct ct_node *n, int64_t now)
 {
-    bool due = n->traffic_logged_at && now - n->traffic_logged_at >= TELL_TRAFFIC_US;
+    bool due = n->traffic_logged_at && now - n->traffic_logged_at >= TRAFFIC_LOG_INTERVAL_US;
     if (due || !n->traffic_logged_at)
         n->traffic_logged_at = now;
     if (!due)
         return;
-    const struct nt_counters *st = nt_stats(n->loop), *was = &n->logged_net;
+    const struct nt_counters *st = nt_stats(n->loop), *last = &n->logged_net;
     struct sr_buf b = {0};
     uint64_t syncs;
     int64_t longest;
@@ -147,10 +147,10 @@
         &n->log, LG_INFO, "traffic",
         "leads=%d entry_nodes=%d connections=%llu requests=%llu ended_by_us=%llu "
         "closed=%llu open=%llu syncs=%llu longest_sync_ms=%lld %.*s",
-        n->leading, n->n_conns, (unsigned long long)(st->http_accepted - was->http_accepted),
-        (unsigned long long)(st->http_requests - was->http_requests),
-        (unsigned long long)(st->http_ended_by_us - was->http_ended_by_us),
-        (unsigned long long)(st->http_closed - was->http_closed),
+        n->leading, n->n_conns, (unsigned long long)(st->http_accepted - last->http_accepted),
+        (unsigned long long)(st->http_requests - last->http_requests),
+        (unsigned long long)(st->http_ended_by_us - last->http_ended_by_us),
+        (unsigned long long)(st->http_closed - last->http_closed),
         (unsigned long long)(st->http_accepted - st->http_closed), (unsigned long long)syncs,
         (long long)(longest / 1000), (int)b.len, b.p ? b.p : "");
     n->logged_net = *st;
@@ -160,14 +160,14 @@
 static void metrics(struct ct_node *n, struct nt_conn *c)
 {
     struct sr_buf b = {0};
-    put_counters(&b, n);
-    put_shares(&b, &n->shares);
+    write_counters(&b, n);
+    write_shares(&b, &n->shares);
     tf_metrics(&n->traffic, &b);
     nt_http_reply(c, 200, "text/plain; version=0.0.4", b.p, b.len);
     sr_buf_free(&b);
 }
 
-static json_t *intent_answer(const struct vw_view *v, const char *id)
+static json_t *intent_json(const struct vw_view *v, const char *id)
 {
     json_t *whole = vw_view_json(v), *found = NULL, *it;
     size_t i;
@@ -182,8 +182,8 @@
 
 /* ---- planning and confirming ---- */
 
-static bool plan_of(struct ct_node *n, const json_t *args, struct it_plan *p,
-                    struct it_request *r, struct er_err *err)
+static bool make_plan(struct ct_node *n, const json_t *args, struct it_plan *p,
+                      struct it_request *r, struct er_err *err)
 {
     if (!ct_quorum_confirmed(n) || !n->leading)
         return er_set(err, qr_role(n->q) == QR_LEADER ? ER_NO_QUORUM : ER_NOT_LEADER,
@@ -199,20 +199,21 @@
     json_t *args = json_loadb(req->body, req->body_len, 0, NULL);
     if (!args)
         er_set(&err, ER_BAD_INPUT, "the body is no JSON");
-    if (!args || !plan_of(n, args, &p, &r, &err)) {
-        reply_err(n, req->conn, &err);
+    if (!args || !make_plan(n, args, &p, &r, &err)) {
+        send_error(n, req->conn, &err);
         json_decref(args);
         return;
     }
     json_t *steps = json_array();
     for (int i = 0; i < p.n; i++)
         json_array_append_new(steps, json_string(p.step[i]));
-    reply(req->conn, 200,
-          json_pack("{s:o,s:s,s:I,s:I,s:o}", "args", args, "digest", p.digest, "generation",
-                    (json_int_t)p.generation, "number", (json_int_t)p.number, "steps", steps));
+    send_json(req->conn, 200,
+              json_pack("{s:o,s:s,s:I,s:I,s:o}", "args", args, "digest", p.digest, "generation",
+                        (json_int_t)p.generation, "number", (json_int_t)p.number, "steps",
+                        steps));
 }
 
-static void waiter_closed(struct nt_conn *c, void *ud, bool opened, bool refused)
+static void on_request_closed(struct nt_conn *c, void *ud, bool opened, bool refused)
 {
     struct ct_operator_request *w = ud;
     (void)c;
@@ -221,24 +222,25 @@
     w->conn = NULL;
 }
 
-static const struct nt_ops waiter_ops = {NULL, NULL, waiter_closed};
+static const struct nt_ops request_ops = {NULL, NULL, on_request_closed};
 
-static bool wait_for(struct ct_node *n, struct nt_conn *c, const char *id)
+static bool await_commit(struct ct_node *n, struct nt_conn *c, const char *id)
 {
     for (int i = 0; i < CT_MAX_OPERATOR_REQUESTS; i++) {
         struct ct_operator_request *w = &n->operator_requests[i];
         if (w->conn)
             continue;
         w->conn = c;
-        w->until = ck_now() + WAIT_US;
+        w->until = ck_now() + COMMIT_TIMEOUT_US;
         sr_copy(w->id, sizeof(w->id), sr_from(id));
-        nt_http_watch(c, &waiter_ops, w);
+        nt_http_watch(c, &request_ops, w);
         return true;
     }
     return false;
 }
 
-static bool field(const json_t *o, const char *key, char *dst, size_t cap, struct er_err *err)
+static bool copy_field(const json_t *o, const char *key, char *dst, size_t cap,
+                       struct er_err *err)
 {
     const json_t *v = json_object_get(o, key);
     struct sr_str s = {json_string_value(v), json_string_length(v)};
@@ -247,8 +249,8 @@
     return true;
 }
 
-static bool intent_of(struct ct_node *n, const json_t *o, struct vw_intent *it,
-                      struct er_err *err)
+static bool parse_intent(struct ct_node *n, const json_t *o, struct vw_intent *it,
+                         struct er_err *err)
 {
     struct it_plan p;
     struct it_request r;
@@ -256,15 +258,15 @@
     const json_t *args = json_object_get(o, "args");
     memset(it, 0, sizeof(*it));
     it->number = (uint64_t)json_integer_value(json_object_get(o, "number"));
-    if (!field(o, "id", it->id, sizeof(it->id), err) ||
-        !field(o, "who", it->who, sizeof(it->who), err) ||
-        !field(o, "digest", digest, sizeof(digest), err))
+    if (!copy_field(o, "id", it->id, sizeof(it->id), err) ||
+        !copy_field(o, "who", it->who, sizeof(it->who), err) ||
+        !copy_field(o, "digest", digest, sizeof(digest), err))
         return false;
     if (vw_intent(&n->view, it->id))
         return true; /* a resend: the answer is there */
     if (it->number == 0)
         return er_set(err, ER_BAD_INPUT, "number: expected the plan's, 1 or more");
-    if (!plan_of(n, args, &p, &r, err))
+    if (!make_plan(n, args, &p, &r, err))
         return false;
     if (strcmp(digest, p.digest) != 0)
         return er_set(err, ER_STALE_PLAN,
@@ -286,28 +288,28 @@
     struct vw_change ch = {.kind = VW_CH_INTENT};
     struct er_err err = {0};
     json_t *o = json_loadb(req->body, req->body_len, 0, NULL);
-    bool ok = o ? intent_of(n, o, &ch.intent, &err)
+    bool ok = o ? parse_intent(n, o, &ch.intent, &err)
                 : er_set(&err, ER_BAD_INPUT, "the body is no JSON");
     json_decref(o);
-    json_t *known = ok ? intent_answer(&n->view, ch.intent.id) : NULL;
+    json_t *known = ok ? intent_json(&n->view, ch.intent.id) : NULL;
     if (known && ct_quorum_confirmed(n)) {
-        reply(req->conn, 200, known);
+        send_json(req->conn, 200, known);
         return;
     }
     json_decref(known);
     if (!ok || !ct_propose(n, &ch, NULL, &err))
-        reply_err(n, req->conn, &err);
-    else if (!wait_for(n, req->conn, ch.intent.id))
-        reply(req->conn, 503,
-              json_pack("{s:s,s:s}", "reason", "overload", "detail",
-                        "too many operators wait; resend with the same id"));
+        send_error(n, req->conn, &err);
+    else if (!await_commit(n, req->conn, ch.intent.id))
+        send_json(req->conn, 503,
+                  json_pack("{s:s,s:s}", "reason", "overload", "detail",
+                            "too many operators wait; resend with the same id"));
 }
 
 void ct_ops_applied(struct ct_node *n, const struct vw_change *ch, const struct er_err *err)
 {
     if (ch->kind != VW_CH_INTENT)
         return;
-    json_t *known = intent_answer(&n->view, ch->intent.id);
+    json_t *known = intent_json(&n->view, ch->intent.id);
     for (int i = 0; i < CT_MAX_OPERATOR_REQUESTS; i++) {
         struct ct_operator_request *w = &n->operator_requests[i];
         if (!w->conn || strcmp(w->id, ch->intent.id) != 0)
@@ -315,9 +317,9 @@
         struct nt_conn *c = w->conn;
         w->conn = NULL;
         if (known)
-            reply(c, 200, json_incref(known));
+            send_json(c, 200, json_incref(known));
         else
-            reply_err(n, c, err);
+            send_error(n, c, err);
     }
     json_decref(known);
 }
@@ -330,9 +332,9 @@
             continue;
         struct nt_conn *c = w->conn;
         w->conn = NULL;
-        reply(c, 504,
-              json_pack("{s:s,s:s}", "reason", "unknown", "detail",
-                        "not committed yet and may still be: resend with the same id"));
+        send_json(c, 504,
+                  json_pack("{s:s,s:s}", "reason", "unknown", "detail",
+                            "not committed yet and may still be: resend with the same id"));
     }
 }
 
@@ -341,24 +343,24 @@
 static void get(struct ct_node *n, const struct nt_http *req)
 {
     if (strcmp(req->path, "/v1/status") == 0) {
-        reply(req->conn, 200, status_json(n));
+        send_json(req->conn, 200, status_json(n));
     } else if (strcmp(req->path, "/v1/members") == 0) {
-        reply(req->conn, 200, members_json(n));
+        send_json(req->conn, 200, members_json(n));
     } else if (strcmp(req->path, "/v1/nodes") == 0) {
-        reply(req->conn, 200, nodes_json(n));
+        send_json(req->conn, 200, nodes_json(n));
     } else if (strcmp(req->path, "/v1/timeline") == 0) {
-        reply(req->conn, 200, tl_json(n->tl, n->s->name));
+        send_json(req->conn, 200, tl_json(n->tl, n->s->name));
     } else if (strcmp(req->path, "/metrics") == 0) {
         metrics(n, req->conn);
     } else if (strcmp(req->path, "/healthz") == 0) {
-        reply(req->conn, 200, json_pack("{s:b}", "alive", 1));
+        send_json(req->conn, 200, json_pack("{s:b}", "alive", 1));
     } else if (strcmp(req->path, "/readyz") == 0) {
         bool ok = !n->stopping && qr_leader(n->q) != 0;
-        reply(req->conn, ok ? 200 : 503, json_pack("{s:b}", "ready", ok));
+        send_json(req->conn, ok ? 200 : 503, json_pack("{s:b}", "ready", ok));
     } else {
-        reply(req->conn, 404,
-              json_pack("{s:s,s:s}", "reason", "bad_input", "detail",
-                        "no such page; see docs/INTERFACES.md"));
+        send_json(req->conn, 404,
+                  json_pack("{s:s,s:s}", "reason", "bad_input", "detail",
+                            "no such page; see docs/INTERFACES.md"));
     }
 }
 
@@ -385,7 +387,7 @@
 
 bool ct_ops_listen(struct ct_node *n, struct er_err *err)
 {
-    static const struct nt_ops none = {NULL, NULL, waiter_closed};
+    static const struct nt_ops none = {NULL, NULL, on_request_closed};
     struct nt_listen l = {.ip = n->s->control_ip,
                           .port = n->s->ops_port,
                           .ops = &none,
--- a/control/peers.c
+++ b/control/peers.c
@@ -6,11 +6,11 @@
 #include "misc/clock.h"
 
 enum {
-    FORGET_US = 10000000, /* an address where nobody of ours answers is forgotten */
-    MAX_QUEUED_TO_PEER = 4 << 20
+    FORGET_ADDRESS_US = 10000000, /* an address where nobody of ours answers is forgotten */
+    MAX_PEER_QUEUE_BYTES = 4 << 20
 };
 
-static void send_on(struct ct_node *n, struct nt_conn *net, const struct wr_msg *m)
+static void send_msg(struct ct_node *n, struct nt_conn *net, const struct wr_msg *m)
 {
     struct sr_buf b = {0};
     wr_encode(&b, m);
@@ -22,7 +22,7 @@
 void ct_send_conn(struct ct_conn *c, const struct wr_msg *m)
 {
     if (c->net)
-        send_on(c->node, c->net, m);
+        send_msg(c->node, c->net, m);
 }
 
 /* ---- our connections to other control nodes ---- */
@@ -40,8 +40,8 @@
 void ct_send_peer(struct ct_node *n, uint64_t id, const struct wr_msg *m)
 {
     struct ct_peer *p = peer_of(n, id);
-    if (p && p->net && p->open && nt_queued(p->net) < MAX_QUEUED_TO_PEER)
-        send_on(n, p->net, m);
+    if (p && p->net && p->open && nt_queued(p->net) < MAX_PEER_QUEUE_BYTES)
+        send_msg(n, p->net, m);
 }
 
 static struct ct_peer *peer_add(struct ct_node *n, const struct qr_member *m)
@@ -98,7 +98,7 @@
                                 .role = WR_ROLE_CONTROL,
                                 .id = n->id,
                                 .expect = expect};
-    send_on(n, net, &m);
+    send_msg(n, net, &m);
 }
 
 static void peer_open(struct nt_conn *net, void *ud)
@@ -138,7 +138,7 @@
 
 static const struct nt_ops peer_ops = {peer_open, peer_message, peer_close};
 
-static void drop_peer(struct ct_node *n, struct ct_peer *p)
+static void peer_remove(struct ct_node *n, struct ct_peer *p)
 {
     struct ct_peer **at = &n->peers;
     while (*at != p)
@@ -149,14 +149,14 @@
 
 /* Members change and addresses are used again: what is no member and did not answer for long is
  * forgotten; seeds are tried again as long as the settings name them. */
-static bool outdated(struct ct_node *n, const struct ct_peer *p, int64_t now)
+static bool is_stale(struct ct_node *n, const struct ct_peer *p, int64_t now)
 {
     const struct qr_members *ms = qr_members(n->q);
     for (uint32_t i = 0; p->member.id && i < ms->n; i++) {
         if (ms->m[i].id == p->member.id)
             return false;
     }
-    return n->s->registers && !p->net && now - p->active_at > FORGET_US;
+    return n->s->registers && !p->net && now - p->active_at > FORGET_ADDRESS_US;
 }
 
 void ct_peers_sync(struct ct_node *n)
@@ -186,8 +186,8 @@
         add_address(n, n->s->voters[i].name, n->s->voters[i].ip, n->s->voters[i].port);
     for (struct ct_peer *p = n->peers, *next; p; p = next) {
         next = p->next;
-        if (outdated(n, p, now)) {
-            drop_peer(n, p);
+        if (is_stale(n, p, now)) {
+            peer_remove(n, p);
         } else if (!p->net && rd_due(&p->redial, now)) {
             p->net = nt_connect(n->loop, p->member.ip, p->member.port, true, &peer_ops, p);
             nt_meter(p->net, &n->peer_traffic);
@@ -209,7 +209,7 @@
 }
 
 /* A connect to it that began before it was there is not answered: it is made anew. */
-static void dial_back(struct ct_node *n, uint64_t id)
+static void reconnect_peer(struct ct_node *n, uint64_t id)
 {
     struct ct_peer *p = peer_of(n, id);
     if (!p || p->open)
@@ -247,11 +247,11 @@
         peer_add(n, &m)->active_at = ck_now();
     }
     if (c->role == WR_ROLE_CONTROL)
-        dial_back(n, c->id);
+        reconnect_peer(n, c->id);
     ct_send_controls(c);
 }
 
-static void from_control(struct ct_conn *c, const struct wr_msg *m)
+static void handle_control(struct ct_conn *c, const struct wr_msg *m)
 {
     struct ct_node *n = c->node;
     if (m->type == WR_QUORUM && m->quorum.from == c->id)
@@ -260,7 +260,7 @@
         ct_on_probes(c, &m->probes);
 }
 
-static void from_entry(struct ct_conn *c, const struct wr_msg *m)
+static void handle_entry(struct ct_conn *c, const struct wr_msg *m)
 {
     struct ct_node *n = c->node;
     switch (m->type) {
@@ -311,9 +311,9 @@
         c->node->counters.bad_messages++;
         nt_close(net, true);
     } else if (c->role == WR_ROLE_CONTROL) {
-        from_control(c, &m);
+        handle_control(c, &m);
     } else if (c->role == WR_ROLE_ENTRY) {
-        from_entry(c, &m);
+        handle_entry(c, &m);
     } else if (m.type == WR_RENEW) {
         ct_on_renew(c, &m.renew);
     }
--- a/control/platform.c
+++ b/control/platform.c
@@ -6,9 +6,9 @@
 #include "control/control.h"
 #include "misc/clock.h"
 
-enum { EVERY_US = 1000000, COMPLAIN_US = 60000000 };
+enum { POLL_INTERVAL_US = 1000000, WARN_INTERVAL_US = 60000000 };
 
-static bool drained_already(const struct ct_node *n, const char *args)
+static bool drain_running(const struct ct_node *n, const char *args)
 {
     for (int i = 0; i < n->view.n_intents; i++) {
         const struct vw_intent *it = &n->view.intents[i];
@@ -18,12 +18,12 @@
     return false;
 }
 
-static void complain(struct ct_node *n, const char *inst, const char *why)
+static void warn_not_drained(struct ct_node *n, const char *inst, const char *why)
 {
     int64_t now = ck_now();
     if (now < n->next_drain_warning)
         return;
-    n->next_drain_warning = now + COMPLAIN_US;
+    n->next_drain_warning = now + WARN_INTERVAL_US;
     FL_WARN(&n->log, "%s is leaving by the platform's list but can't be drained: %s", inst,
             why);
 }
@@ -38,7 +38,7 @@
     char *args = json_dumps(j, JSON_COMPACT | JSON_SORT_KEYS);
     bool ok = it_parse(j, &r, &err) && it_plan(&n->view, qr_members(n->q), &r, &p, &err);
     json_decref(j);
-    if (ok && !drained_already(n, args)) {
+    if (ok && !drain_running(n, args)) {
         struct vw_intent *it = &ch.intent;
         snprintf(it->id, sizeof(it->id), "platform-%llu",
                  (unsigned long long)n->view.generation);
@@ -51,11 +51,11 @@
         ok = ct_propose(n, &ch, &n->step_index, &err);
     }
     if (!ok)
-        complain(n, inst, err.text);
+        warn_not_drained(n, inst, err.text);
     free(args);
 }
 
-static void look(struct ct_node *n, const char *ip, int port)
+static void drain_at(struct ct_node *n, const char *ip, int port)
 {
     for (int g = 0; g < n->view.n; g++) {
         const struct vw_group *v = &n->view.groups[g];
@@ -76,7 +76,7 @@
     size_t i;
     json_t *vm;
     json_t *list = status == 200 ? json_loadb(body, len, 0, NULL) : NULL;
-    bool can = n->leading && ct_quorum_confirmed(n) && qr_commit(n->q) >= n->step_index;
+    bool may_propose = n->leading && ct_quorum_confirmed(n) && qr_commit(n->q) >= n->step_index;
     n->platform_polled = false;
     if (status != 200)
         n->counters.platform_failures++;
@@ -85,8 +85,8 @@
         const char *state = json_string_value(json_object_get(vm, "state"));
         const char *ip = json_string_value(json_object_get(vm, "ip"));
         int port = (int)json_integer_value(json_object_get(vm, "port"));
-        if (can && state && ip && strcmp(state, "leaving") == 0)
-            look(n, ip, port);
+        if (may_propose && state && ip && strcmp(state, "leaving") == 0)
+            drain_at(n, ip, port);
     }
     json_decref(list);
 }
@@ -96,7 +96,7 @@
     if (!n->s->platform_port || !n->leading || n->platform_polled ||
         now < n->next_platform_poll)
         return;
-    n->next_platform_poll = now + EVERY_US;
+    n->next_platform_poll = now + POLL_INTERVAL_US;
     n->platform_polled = true;
     nt_http_get(n->loop, n->s->platform_ip, n->s->platform_port, "GET", "/vms", NULL, on_list,
                 n);
--- a/control/promotions.c
+++ b/control/promotions.c
@@ -73,10 +73,10 @@
 {
     const struct vw_group *v = vw_group(&n->view, g->name);
     struct pr_actions acts;
-    bool polite = n->s->fence && v->phase == VW_HANDING;
-    bool dropped = polite ? ls_known_have(&n->leases, g->phase_generation, ck_now())
-                          : ls_all_have(&n->leases, g->phase_generation, ck_now());
-    pr_tick(&g->pr, v, dropped, ck_now(), &acts);
+    bool fenced_handover = n->s->fence && v->phase == VW_HANDING;
+    bool applied = fenced_handover ? ls_known_have(&n->leases, g->phase_generation, ck_now())
+                                   : ls_all_have(&n->leases, g->phase_generation, ck_now());
+    pr_tick(&g->pr, v, applied, ck_now(), &acts);
     act_on(n, g, &acts);
 }
 
@@ -105,12 +105,12 @@
     pr_probed(&g->pr, inst, vantage, domain, health == PR_UNFIT ? PR_UP : health, ck_now());
 }
 
-static void said(struct ct_group *g, const char *inst, const struct ep_reply *r)
+static void replied(struct ct_group *g, const char *inst, const struct ep_reply *r)
 {
     pr_said(&g->pr, inst, r->primary, r->term, r->following, r->held, ck_now());
 }
 
-static void reached(struct ct_group *g, const char *inst)
+static void connected(struct ct_group *g, const char *inst)
 {
     pr_reached(&g->pr, inst, ck_now());
 }
@@ -125,5 +125,5 @@
     return g->pr.step != PR_IDLE;
 }
 
-const struct ct_failover_ops ct_failover_promote = {begin,   probed, said, reached,
+const struct ct_failover_ops ct_failover_promote = {begin,   probed, replied, connected,
                                                     checked, decide, busy};
--- a/control/registrations.c
+++ b/control/registrations.c
@@ -4,7 +4,7 @@
 
 /* The newest call that this node took of an instance. Soft: another leader starts
  * without it, and what matters (drained, left) is in the view. */
-static struct ct_last_call *seq_of(struct ct_node *n, const char *id)
+static struct ct_last_call *last_call_of(struct ct_node *n, const char *id)
 {
     int i = ix_get(&n->last_call_index, id);
     if (i != IX_NONE)
@@ -21,10 +21,9 @@
     return s;
 }
 
-static bool take(struct ct_node *n, enum rg_need need, const struct vw_change *ch,
-                 struct nt_conn *c,
-                 void (*done)(struct ct_node *, struct nt_conn *, const struct er_err *),
-                 struct er_err *err)
+static bool propose_change(
+    struct ct_node *n, enum rg_need need, const struct vw_change *ch, struct nt_conn *c,
+    void (*done)(struct ct_node *, struct nt_conn *, const struct er_err *), struct er_err *err)
 {
     uint64_t index;
     if (need == RG_NOTHING || need == RG_LATE)
@@ -43,7 +42,7 @@
 {
     struct vw_change ch;
     struct er_err refused = {0};
-    struct ct_last_call *s = seq_of(n, b->inst.id);
+    struct ct_last_call *s = last_call_of(n, b->inst.id);
     enum rg_need need = rg_beat(&n->view, b, &s->last, &ch, &refused);
     if (!rg_may_end(need) && !ct_may_answer(n, err))
         return false;
@@ -53,7 +52,7 @@
      * again. */
     if (need == RG_NOTHING)
         s->last = (struct rg_last){b->inst.born, b->seq};
-    return take(n, need, &ch, c, done, err);
+    return propose_change(n, need, &ch, c, done, err);
 }
 
 bool ct_deregister(struct ct_node *n, const char *id, struct nt_conn *c,
@@ -63,5 +62,5 @@
     struct vw_change ch;
     if (!ct_may_answer(n, err))
         return false;
-    return take(n, rg_leave(&n->view, id, &ch), &ch, c, done, err);
+    return propose_change(n, rg_leave(&n->view, id, &ch), &ch, c, done, err);
 }
--- a/control/takeovers.c
+++ b/control/takeovers.c
@@ -4,9 +4,9 @@
 
 enum {
     /* Origin of each: measured on the users' platform; docs/design/platform.md. */
-    ANSWER_US = 1000000, /* the platform answers in milliseconds or not at all */
-    LEAD_US = 3000000,   /* it takes 300 to 600 ms until the instance leads */
-    SETTLE_US = 800000,  /* replicas receive within a network trip; deaf ones not for seconds */
+    ANSWER_TIMEOUT_US = 1000000, /* the platform answers in milliseconds or not at all */
+    LEAD_TIMEOUT_US = 3000000,   /* it takes 300 to 600 ms until the instance leads */
+    SETTLE_US = 800000, /* replicas receive within a network trip; deaf ones not for seconds */
     RECHECK_US = 250000,
 };
 
@@ -14,8 +14,8 @@
 {
     const struct st_settings *s = n->s;
     struct tk_config cfg = {.check_us = CK_MS(s->check_ms),
-                            .answer_us = ANSWER_US,
-                            .lead_us = LEAD_US,
+                            .answer_us = ANSWER_TIMEOUT_US,
+                            .lead_us = LEAD_TIMEOUT_US,
                             .settle_us = SETTLE_US,
                             .recheck_us = RECHECK_US};
     tk_begin(&g->tk, &cfg, ck_now());
@@ -44,12 +44,12 @@
         tk_suspected(&g->tk, inst);
 }
 
-static void said(struct ct_group *g, const char *inst, const struct ep_reply *r)
+static void replied(struct ct_group *g, const char *inst, const struct ep_reply *r)
 {
     tk_said(&g->tk, inst, r->primary, r->held, ck_now());
 }
 
-static void reached(struct ct_group *g, const char *inst)
+static void connected(struct ct_group *g, const char *inst)
 {
     tk_seen(&g->tk, inst, TK_UP);
 }
@@ -79,8 +79,8 @@
     ct_propose_for_group(n, g, a->inst, &ch);
 }
 
-static void on_called(struct ct_node *n, const char *group, uint64_t token,
-                      enum tk_outcome what)
+static void on_order_answered(struct ct_node *n, const char *group, uint64_t token,
+                              enum tk_outcome what)
 {
     static const char *const names[] = {"carried out", "refused", "no answer"};
     struct ct_group *g = ct_group_of(n, group);
@@ -93,14 +93,14 @@
     ct_group_tick(n, g);
 }
 
-static void order(struct ct_node *n, struct ct_group *g, const struct tk_action *a)
+static void send_order(struct ct_node *n, struct ct_group *g, const struct tk_action *a)
 {
     const char *id = g->inst[a->inst]->id;
     n->counters.promotions++;
     tl_add(n->tl, TL_FENCED, g->name, a->term, "%s is ordered to take over", id);
     FL_EVENT(&n->log, LG_INFO, "order_sent", "group=%s term=%llu instance=%s", g->name,
              (unsigned long long)a->term, id);
-    n->platform->promote(n, g->name, id, a->term, on_called);
+    n->platform->promote(n, g->name, id, a->term, on_order_answered);
 }
 
 static void do_action(struct ct_node *n, struct ct_group *g, const struct tk_action *a)
@@ -119,7 +119,7 @@
         propose(n, g, VW_CH_PRIMARY, a);
         break;
     case TK_DO_CALL:
-        order(n, g, a);
+        send_order(n, g, a);
         break;
     case TK_DO_PROBE:
         ct_probe(g->inst[a->inst], ck_now());
@@ -136,5 +136,5 @@
         do_action(n, g, &acts.a[i]);
 }
 
-const struct ct_failover_ops ct_failover_takeover = {begin,   probed, said, reached,
+const struct ct_failover_ops ct_failover_takeover = {begin,   probed, replied, connected,
                                                      checked, decide, busy};
--- a/control/traffic.c
+++ b/control/traffic.c
@@ -77,7 +77,7 @@
     t->reported = t->all;
 }
 
-static void put_messages(const char *way, const struct tf_sum *all, struct sr_buf *out)
+static void write_messages(const char *way, const struct tf_sum *all, struct sr_buf *out)
 {
     for (int i = 0; i < WR_TYPES; i++) {
         if (!types[i])
@@ -92,8 +92,8 @@
 
 void tf_metrics(const struct tf_traffic *t, struct sr_buf *out)
 {
-    put_messages("in", t->all.in, out);
-    put_messages("out", t->all.out, out);
+    write_messages("in", t->all.in, out);
+    write_messages("out", t->all.out, out);
     for (int c = 0; c < TF_CALLS; c++) {
         for (int a = 0; a < TF_ANSWERS; a++)
             sr_buf_printf(out, "ferry_control_calls_total{call=\"%s\",answer=\"%s\"} %llu\n",
--- a/control/watch.c
+++ b/control/watch.c
@@ -7,17 +7,18 @@
 #include "misc/clock.h"
 
 enum {
-    RETRY_US = 30000,
-    SILENT_TIMES = 3, /* a connection is made anew after so many times what counts as silent */
-    FRESH_PROBES = 4,
+    RECONNECT_DELAY_US = 30000,
+    RECONNECT_AFTER_SILENCES =
+        3, /* a connection is made anew after so many times what counts as silent */
+    FRESH_PROBE_INTERVALS = 4,
     /* Probes of a calm replica are so many times rarer: each takes a slot and bytes. With three
      * instances a group that is 4 probes of 9 fewer. */
-    CALM_REPLICA_TIMES = 3,
-    TELL_US = 1000000,
-    CALM_EVERY = 10, /* ticks between two looks at a group where nothing is under way */
+    CALM_REPLICA_PROBE_FACTOR = 3,
+    REPORT_AFTER_CHANGE_US = 1000000,
+    CALM_GROUP_TICKS = 10, /* ticks between two looks at a group where nothing is under way */
     /* Connections made or closed in a tick: all of a thousand in one would take a new leader
      * longer than its followers wait for a heartbeat. */
-    LINES_A_TICK = 16,
+    CONN_CHANGES_PER_TICK = 16,
 };
 
 /* ---- finding ---- */
@@ -29,7 +30,8 @@
 }
 
 /* The group of the instance that a message names; its id goes to `id`. */
-static struct ct_group *group_with(struct ct_node *n, struct sr_str inst, char id[VW_NAME])
+static struct ct_group *group_of_instance(struct ct_node *n, struct sr_str inst,
+                                          char id[VW_NAME])
 {
     int i = sr_copy(id, VW_NAME, inst) ? ix_get(&n->inst_index, id) : IX_NONE;
     return i == IX_NONE ? NULL : n->groups[i];
@@ -55,7 +57,7 @@
     return q->id;
 }
 
-static void report(struct ct_inst *in, enum pr_health health)
+static void set_health(struct ct_inst *in, enum pr_health health)
 {
     struct ct_node *n = in->node;
     if (in->health != health)
@@ -93,10 +95,10 @@
     struct ct_group *g = in->group;
     if (in->removed)
         return;
-    report(in, PR_UP);
+    set_health(in, PR_UP);
     if (r->result == EP_OK)
         n->failover->replied(g, in->id, r);
-    bool event = g->phase != VW_SERVING;
+    bool phase_running = g->phase != VW_SERVING;
     if (r->id == in->fence_id && r->result == EP_OK) {
         tl_add(n->tl, TL_FENCED, g->name, in->fence_term, "%s at %llu/%llu", in->id,
                (unsigned long long)r->held.term, (unsigned long long)r->held.pos);
@@ -107,7 +109,7 @@
                (unsigned long long)r->pos.pos);
         pr_promoted(&g->pr, in->id, in->promote_term, r->pos);
     }
-    if (event && n->leading)
+    if (phase_running && n->leading)
         ct_group_tick(n, g);
 }
 
@@ -134,11 +136,11 @@
     }
     /* A connection that was good is tried anew at once: a refusal tells that the process died.
      */
-    in->next_connect = ck_now() + (opened ? 0 : RETRY_US);
+    in->next_connect = ck_now() + (opened ? 0 : RECONNECT_DELAY_US);
     enum pr_health h = refused ? PR_REFUSED : PR_SILENT;
-    bool news = in->health != h;
-    report(in, h);
-    if (news)
+    bool health_changed = in->health != h;
+    set_health(in, h);
+    if (health_changed)
         send_probes(in->node); /* a death is worth a message of its own */
     if (in->node->leading)
         ct_group_tick(in->node, in->group);
@@ -148,7 +150,7 @@
 
 /* Between two probes of an instance: as set, or longer if there are so many that the node would
  * send more than control.probe_rate. A closed connection is noticed at once all the same. */
-static int64_t probe_every(const struct ct_node *n)
+static int64_t probe_interval_us(const struct ct_node *n)
 {
     int64_t by_rate = CK_SEC(1) * n->n_insts / n->s->probe_rate;
     int64_t set = CK_MS(n->s->probe_ms);
@@ -157,18 +159,18 @@
 
 /* A replica of a group that serves is asked more rarely: entry nodes notice by themselves what
  * does not answer reads, and a change of primary asks all anew. */
-static int64_t probe_every_of(const struct ct_inst *in)
+static int64_t inst_probe_interval_us(const struct ct_inst *in)
 {
     const struct ct_group *g = in->group;
     bool primary = g->primary >= 0 && g->primary < g->n && g->inst[g->primary] == in;
-    bool calm = g->phase == VW_SERVING && in->health == PR_UP;
-    return probe_every(in->node) * (calm && !primary ? CALM_REPLICA_TIMES : 1);
+    bool is_calm = g->phase == VW_SERVING && in->health == PR_UP;
+    return probe_interval_us(in->node) * (is_calm && !primary ? CALM_REPLICA_PROBE_FACTOR : 1);
 }
 
 /* Silent means that three probes went unanswered. */
-static int64_t silent_after(const struct ct_inst *in)
+static int64_t silence_limit_us(const struct ct_inst *in)
 {
-    int64_t three = 3 * probe_every_of(in), set = CK_MS(in->node->s->silence_ms);
+    int64_t three = 3 * inst_probe_interval_us(in), set = CK_MS(in->node->s->silence_ms);
     return three > set ? three : set;
 }
 
@@ -177,21 +179,21 @@
     struct ep_request q = {.op = EP_STATUS};
     /* The first goes out at once, the next at a time of the instance's own: thousands that were
      * connected together are not to be probed together for ever. */
-    int64_t every = probe_every(in->node);
+    int64_t every = probe_interval_us(in->node);
     int64_t offset = (int64_t)(XXH64(in->id, strlen(in->id), 0) % (uint64_t)every);
     in->probed_at = in->probed_at ? now : now - offset;
     ct_send_op(in, &q);
 }
 
 /* Where connections to instances are scarce only the leader has one. */
-static bool watches(const struct ct_node *n)
+static bool connects_to_instances(const struct ct_node *n)
 {
     return !n->platform || n->leading;
 }
 
 /* Whether a connection may be made or closed in this tick; if not, the next one begins with
  * this group, so that those that refuse don't keep others from their turn. */
-static bool may_change_line(struct ct_node *n, int group)
+static bool may_change_conn(struct ct_node *n, int group)
 {
     if (n->conn_changes_left > 0) {
         n->conn_changes_left--;
@@ -206,8 +208,8 @@
 static void inst_tick(struct ct_inst *in, int group, int64_t now)
 {
     const struct st_settings *s = in->node->s;
-    if (!watches(in->node)) {
-        if (in->conn && may_change_line(in->node, group))
+    if (!connects_to_instances(in->node)) {
+        if (in->conn && may_change_conn(in->node, group))
             in->node->driver->close(in->conn);
         return;
     }
@@ -215,26 +217,26 @@
         char who[64];
         snprintf(who, sizeof(who), "control:%s", s->name);
         struct ep_target to = {in->ip, in->port, in->group->name, in->id};
-        if (now >= in->next_connect && may_change_line(in->node, group))
+        if (now >= in->next_connect && may_change_conn(in->node, group))
             in->conn = in->node->driver->open(in->node->loop, &to, who, &events, in);
         if (in->conn)
             in->connecting_since = now;
         return;
     }
-    if (!in->open && now - in->connecting_since > silent_after(in))
-        report(in, PR_SILENT);
+    if (!in->open && now - in->connecting_since > silence_limit_us(in))
+        set_health(in, PR_SILENT);
     /* A connection may be silent for good while a new one would work. */
     if (now - (in->open ? in->replied_at : in->connecting_since) >
-        SILENT_TIMES * silent_after(in)) {
+        RECONNECT_AFTER_SILENCES * silence_limit_us(in)) {
         in->node->driver->close(in->conn);
         return;
     }
     if (!in->open)
         return;
-    if (now - in->probed_at >= probe_every_of(in))
+    if (now - in->probed_at >= inst_probe_interval_us(in))
         ct_probe(in, now);
-    if (now - in->replied_at > silent_after(in) && in->health != PR_SILENT) {
-        report(in, PR_SILENT);
+    if (now - in->replied_at > silence_limit_us(in) && in->health != PR_SILENT) {
+        set_health(in, PR_SILENT);
         send_probes(in->node);
         if (in->node->leading)
             ct_group_tick(in->node, in->group);
@@ -256,7 +258,7 @@
     return in;
 }
 
-static void inst_gone(struct ct_inst *in)
+static void inst_remove(struct ct_inst *in)
 {
     in->removed = true;
     sh_drop_instance(&in->node->shares, in->id);
@@ -276,7 +278,7 @@
     return s && s->max_conns > 0 ? s->max_conns : in->max_conns;
 }
 
-static bool same_life(const struct ct_inst *in, const struct vw_instance *v)
+static bool same_process(const struct ct_inst *in, const struct vw_instance *v)
 {
     return strcmp(in->id, v->id) == 0 && in->born == v->born;
 }
@@ -286,7 +288,7 @@
     struct ct_inst *next[VW_MAX_INSTANCES] = {0};
     for (int i = 0; i < v->n; i++) {
         for (int k = 0; k < g->n; k++) {
-            if (g->inst[k] && same_life(g->inst[k], &v->inst[i])) {
+            if (g->inst[k] && same_process(g->inst[k], &v->inst[i])) {
                 next[i] = g->inst[k];
                 g->inst[k] = NULL;
             }
@@ -301,7 +303,7 @@
     }
     for (int k = 0; k < g->n; k++) {
         if (g->inst[k])
-            inst_gone(g->inst[k]);
+            inst_remove(g->inst[k]);
     }
     memcpy(g->inst, next, sizeof(next));
     g->n = v->n;
@@ -367,7 +369,7 @@
     struct ct_node *n = c->node;
     for (uint32_t i = 0; i < p->n; i++) {
         char id[VW_NAME];
-        struct ct_group *g = group_with(n, p->probes[i].inst, id);
+        struct ct_group *g = group_of_instance(n, p->probes[i].inst, id);
         if (!g)
             continue;
         n->failover->probed(g, id, c->id, c->domain, health_of(p->probes[i].health));
@@ -379,7 +381,7 @@
 void ct_on_check_reply(struct ct_node *n, const struct wr_check *m)
 {
     char id[VW_NAME];
-    struct ct_group *g = group_with(n, m->inst, id);
+    struct ct_group *g = group_of_instance(n, m->inst, id);
     if (!g)
         return;
     n->failover->checked(g, m->nonce, health_of(m->health));
@@ -390,7 +392,7 @@
 {
     char id[VW_NAME];
     struct ct_node *n = c->node;
-    struct ct_group *g = group_with(n, m->inst, id);
+    struct ct_group *g = group_of_instance(n, m->inst, id);
     if (!g || m->health < WR_SILENT)
         return;
     n->failover->probed(g, id, c->id, c->domain, health_of(m->health));
@@ -399,9 +401,9 @@
 
 /* Whether the leader should hear of it now: it is not up, or that has just changed. What is up
  * and stays so costs no message. */
-static bool worth_telling(const struct ct_inst *in, int64_t now)
+static bool must_report(const struct ct_inst *in, int64_t now)
 {
-    return in->health != PR_UP || now - in->health_changed_at < TELL_US;
+    return in->health != PR_UP || now - in->health_changed_at < REPORT_AFTER_CHANGE_US;
 }
 
 /* What this node's probes see goes to the leader. */
@@ -410,14 +412,14 @@
     static const enum wr_health map[] = {WR_UNKNOWN, WR_OK, WR_SILENT, WR_REFUSED};
     uint64_t leader = qr_leader(n->q);
     int64_t now = ck_now();
-    if (!leader || leader == n->id || !watches(n))
+    if (!leader || leader == n->id || !connects_to_instances(n))
         return;
     struct wr_probe *p = sr_alloc(sizeof(*p) * (size_t)n->n_groups * VW_MAX_INSTANCES);
     uint32_t k = 0;
     for (int g = 0; g < n->n_groups; g++) {
         for (int i = 0; i < n->groups[g]->n && k < WR_MAX_PROBES; i++) {
             const struct ct_inst *in = n->groups[g]->inst[i];
-            if (!worth_telling(in, now))
+            if (!must_report(in, now))
                 continue;
             p[k++] = (struct wr_probe){
                 sr_from(in->id),      map[in->health],     in->status.primary,  in->status.term,
@@ -439,7 +441,7 @@
         return false;
     const struct pr_inst *p = pr_inst_of(g, v->inst[v->primary].id);
     const struct pr_inst *r = pr_inst_of(g, inst);
-    int64_t oldest = ck_now() - FRESH_PROBES * probe_every(n);
+    int64_t oldest = ck_now() - FRESH_PROBE_INTERVALS * probe_interval_us(n);
     if (!p || !r || p->said_at < oldest || r->said_at < oldest)
         return false;
     return r->following == v->term && ps_cmp(r->held, p->held) >= 0;
@@ -447,7 +449,7 @@
 
 /* Nothing is under way and the primary answers: whatever ends that is news, which ticks the
  * group at once. Every group at every tick would be 7 % of a core for 940 of them. */
-static bool calm(const struct ct_node *n, const struct ct_group *g)
+static bool is_calm(const struct ct_node *n, const struct ct_group *g)
 {
     if (g->phase != VW_SERVING || n->failover->busy(g) || g->primary < 0)
         return false;
@@ -458,13 +460,13 @@
 {
     int first = n->next_group > 0 ? n->next_group : 0;
     n->next_group = -1;
-    n->conn_changes_left = LINES_A_TICK;
+    n->conn_changes_left = CONN_CHANGES_PER_TICK;
     for (int k = 0; k < n->n_groups; k++) {
         int g = (first + k) % n->n_groups;
         for (int i = 0; i < n->groups[g]->n; i++)
             inst_tick(n->groups[g]->inst[i], g, now);
-        bool turn = (n->ticks + (unsigned)g) % CALM_EVERY == 0;
-        if (turn || !calm(n, n->groups[g]))
+        bool scheduled = (n->ticks + (unsigned)g) % CALM_GROUP_TICKS == 0;
+        if (scheduled || !is_calm(n, n->groups[g]))
             ct_group_tick(n, n->groups[g]);
     }
     n->ticks++;
