--- a/control/pending_view.h
+++ b/control/pending_view.h
@@ -1,19 +1,21 @@
-/* A node's turn for a view that the pace (view/push.h) holds back.
+/* A view that an entry node has not been sent yet because the pace of sending (view/push.h)
+ * deferred it.
  *
- * Pattern: a large document goes to all nodes, those at the end of the line get it after most
- * of a lease. A node takes no lease for a view that it has not got, so it is granted one for
- * the view that it was sent last, as long as the newer one waits here. Pure. */
+ * A large configuration document is sent to all nodes at a limited rate, so the last nodes get
+ * it after most of a lease. A node accepts no lease for a view that it does not have, so while
+ * the newer view is deferred the node is granted a lease for the view that it was sent last.
+ * Pure; called by control/nodes.c. Times are microseconds. */
 #ifndef FL_CONTROL_PENDING_VIEW_H
 #define FL_CONTROL_PENDING_VIEW_H
 
 #include "view/push.h"
 
 struct pv_pending_view {
-    bool waiting;  /* a view waits */
-    int64_t since; /* when it began to */
+    bool waiting;  /* a view is deferred */
+    int64_t since; /* when it was first deferred */
 };
 
-/* Whether the view may go out now; else it waits. */
+/* Whether the view may be sent now; otherwise it is deferred. */
 static inline bool pv_try_send(struct pv_pending_view *t, const struct vp_pace *p, int64_t now)
 {
     if (!t->waiting)
@@ -21,8 +23,8 @@
     return vp_take(p, &t->waiting);
 }
 
-/* Whether a lease is granted for the older view. Not for long: what is in force elsewhere would
- * be missing here for that time and a lease more. */
+/* Whether a lease is still granted for the older view. This is limited to half a lease: the
+ * node would act on the older view for that time and one more lease. */
 static inline bool pv_keeps_lease(const struct pv_pending_view *t, int64_t lease_us,
                                   int64_t now)
 {
