--- a/control/failover.c
+++ b/control/failover.c
@@ -1,5 +1,5 @@
-/* When each group's steering decides (promotions.c, takeovers.c), and how what it decided is
- * proposed. */
+/* Runs the decisions on changes of primary (promotions.c, takeovers.c) for each group and
+ * proposes the changes that they decide on. */
 #include "control/control.h"
 
 void ct_propose_for_group(struct ct_node *n, const struct ct_group *g, int inst,
--- a/control/limits.c
+++ b/control/limits.c
@@ -1,5 +1,5 @@
-/* Limits of client accounts: the leader gives nodes permits with the answers to their renewals
- * (limit/). */
+/* Limits of client accounts: the leader assigns permits to entry nodes with the answers to
+ * their renewals (limit/). */
 #include "control/control.h"
 #include "misc/clock.h"
 
--- a/control/nodes.c
+++ b/control/nodes.c
@@ -1,4 +1,5 @@
-/* Entry nodes: leases, the view they act on, their shares. */
+/* Entry nodes: their leases, the views and node lists sent to them, and their shares of
+ * connections. */
 #include <stdlib.h>
 
 #include "control/control.h"
@@ -7,22 +8,22 @@
 enum {
     MAX_QUEUED_VIEW_BYTES = 8 << 20,
     NODE_LIST_INTERVAL_US = 100000,
-    /* A quorum's answer to a heartbeat is late if none that is younger than so many was
-     * answered: one is under way always, and elections wait for four (their settings'
-     * defaults). */
+    /* A quorum is late if it answered no heartbeat within this many intervals: one heartbeat is
+     * always outstanding, and elections start after four (with the default settings). */
     LATE_HEARTBEAT_INTERVALS = 2,
-    /* A node whose lease ran out is listed so long while its connection is there: it is stalled
-     * or behind a slow link and comes back, and each change of the list moves groups and with
-     * them sessions. Origin: above the time in which a dark peer's connection ends (2.5 s). */
+    /* A node whose lease expired stays listed for this time while its connection is open: it is
+     * probably stalled or behind a slow link and returns, and each change of the list moves
+     * groups and their sessions. Above the time after which the connection of an unreachable
+     * peer is closed (2.5 s). */
     LISTED_AFTER_LEASE_US = 3000000,
-    /* Nodes that start together come to a new leader one after the other, and each change of
-     * the list moves groups: none has come for so long. Two trips and a lease between domains.
-     */
+    /* After an election nodes reach the new leader one after the other, and each change of the
+     * list moves groups, so no list is sent until no node has joined for this time: two network
+     * trips and a lease between failure domains. */
     JOIN_PAUSE_US = 50000,
 };
 
-/* Whole views on their way to nodes: hundreds that start together would each have one queued.
- */
+/* Bytes queued for sending to all nodes; limits the memory for whole views when hundreds of
+ * nodes start together. */
 static size_t views_queued(const struct ct_node *n)
 {
     size_t sum = 0;
@@ -44,9 +45,9 @@
     free(text);
 }
 
-/* What nodes of generation `from` lack, encoded; made anew only if it is not what was sent
- * last: a change goes to all nodes at once, and hundreds that start together ask for the same.
- */
+/* The encoded changes for nodes at generation `from`, or the whole view. The message sent last
+ * is used again if it is the same: a change is sent to all nodes at once, and hundreds of nodes
+ * that start together need the same view. */
 static const struct ct_cached_frame *view_frame(struct ct_node *n, uint64_t from, bool whole)
 {
     struct ct_cached_frame *f = whole ? &n->whole_frame : &n->changes_frame;
@@ -56,14 +57,13 @@
     return f;
 }
 
-/* Whether the node is to learn the newest changes with the next batch. */
+/* Whether the newest changes are sent to the node with the next batch. */
 static bool batch_pending(const struct ct_conn *c)
 {
     return c->node->unsent_changes.waits && c->sent_generation;
 }
 
-/* Whether the newest view goes out to the node later, and it acts on the one before meanwhile.
- */
+/* Whether the newest view is sent to the node later, while the node acts on an older one. */
 static bool view_deferred(const struct ct_conn *c, int64_t now)
 {
     int64_t lease = CK_MS(c->node->s->lease_ms);
@@ -71,8 +71,8 @@
            (c->sent_generation && pv_keeps_lease(&c->pending_view, lease, now));
 }
 
-/* Send what the node is missing, once per connection. A node that must wait gets it in a later
- * tick, or with one of its next renewals. */
+/* Sends the changes that the node does not have, once per connection. If they are deferred,
+ * they are sent in a later tick or with one of its next renewals. */
 static void send_view(struct ct_conn *c, uint64_t has)
 {
     struct ct_node *n = c->node;
@@ -95,9 +95,10 @@
         nt_send(c->net, f->bytes.p, f->bytes.len);
 }
 
-/* A node that still reports an older generation well after a view was sent did not get it, or
- * could not apply it: send again from where it is. Without this it would hold a lease that it
- * can't use, and every change of primary would wait for that lease. */
+/* A node that still reports an older generation half a lease after a view was sent did not
+ * receive the view or could not apply it: it is sent again from the reported generation.
+ * Otherwise the node would hold a lease that it can't use, and every change of primary would
+ * wait for that lease. */
 static void note_generation(struct ct_conn *c, uint64_t has, int64_t now)
 {
     bool late = now - c->view_sent_at > CK_MS(c->node->s->lease_ms) / 2;
@@ -114,7 +115,8 @@
     }
 }
 
-/* Instances that come and go: many at once, and callers are served meanwhile. */
+/* Whether a change may wait for a batch: instances join, drain and leave many at a time, and
+ * callers are served meanwhile. */
 static bool may_defer(enum vw_change_kind kind)
 {
     return kind == VW_CH_JOIN || kind == VW_CH_LEAVE || kind == VW_CH_DRAIN;
@@ -126,6 +128,7 @@
         ct_push_view(n);
 }
 
+/* Records the connections that the node holds and wants, and balances shares that changed. */
 static void record_shares(struct ct_conn *c, const struct wr_renew *r, int64_t now)
 {
     struct ct_node *n = c->node;
@@ -141,9 +144,9 @@
     }
 }
 
-/* Tell the node those of its shares that changed since it was told, or all of them the first
- * time. A renewal names every instance that the node holds or wants connections to: it has no
- * share in others. */
+/* Sends the node its shares that changed since they were sent last, or all of them the first
+ * time, and the answers to its permit requests. A renewal names every instance that the node
+ * holds or wants connections to; the node has no share of other instances. */
 static void send_shares(struct ct_conn *c, const struct wr_renew *r)
 {
     struct ct_node *n = c->node;
@@ -171,15 +174,17 @@
     free(p);
 }
 
-/* An entry node that others are told of: it has a lease, or had one until a moment ago. */
+/* Whether the process is an entry node that is in the list: it has a lease, or had one until
+ * LISTED_AFTER_LEASE_US ago. */
 static bool is_listed(const struct ct_conn *c, int64_t now)
 {
     bool entry = c->greeted && c->role == WR_ROLE_ENTRY && c->port && !c->leaving;
     return entry && ls_node_live(&c->node->leases, c->id, now - LISTED_AFTER_LEASE_US);
 }
 
-/* A new leader knows of no lease at first: until all that are connected have one, or a lease's
- * time is over, the lists that its predecessor sent are better. */
+/* Whether the list of entry nodes is complete. A new leader knows of no leases at first: until
+ * all connected nodes have one, or the time of a lease has passed, the list that its
+ * predecessor sent is better. */
 static bool node_list_settled(const struct ct_node *n, int64_t now)
 {
     if (now - n->leading_since >= CK_MS(n->s->lease_ms))
@@ -203,7 +208,7 @@
            sr_copy(x->ip, sizeof(x->ip), sr_from(c->ip));
 }
 
-/* The entry nodes that are listed; made at most every NODES_EVERY_US, for all that ask. */
+/* Builds the list of entry nodes, at most every NODE_LIST_INTERVAL_US. */
 static void build_node_list(struct ct_node *n, int64_t now)
 {
     int k = 0;
@@ -246,8 +251,8 @@
     free(gone);
 }
 
-/* What a node that has list `has` lacks, encoded; made anew only if it is not what was sent
- * last: most that ask have the same list. */
+/* The encoded changes for a node that has the list with hash `has`. The message sent last is
+ * used again if it is the same, as most nodes have the same list. */
 static const struct ct_cached_frame *nodes_frame(struct ct_node *n, uint64_t has)
 {
     uint64_t to = nl_newest(&n->nodes)->hash;
@@ -263,7 +268,7 @@
     return f;
 }
 
-/* Tell the node which entry nodes there are, if that is news for it. */
+/* Sends the list of entry nodes to a node if it has another one. */
 static void send_nodes(struct ct_conn *to, int64_t now)
 {
     struct ct_node *n = to->node;
@@ -282,8 +287,9 @@
         nt_send(to->net, f->bytes.p, f->bytes.len);
 }
 
-/* Which list a node has counts, not what it was sent: it may not have taken that. What was sent
- * a moment ago may still be on its way. */
+/* Records the hash of the list that the node reports, since it may not have applied the list
+ * sent to it. A list sent less than half a lease ago may still be in transit and is not
+ * replaced. */
 static void note_node_list(struct ct_conn *c, uint64_t has, int64_t now)
 {
     bool late = now - c->nodes_sent_at > CK_MS(c->node->s->lease_ms) / 2;
@@ -292,7 +298,7 @@
     c->reported_nodes = true;
 }
 
-/* Views that the pace held back. */
+/* Sends the views that the pace had deferred as soon as it allows sending again. */
 static void push_deferred_views(struct ct_node *n, int64_t now)
 {
     int64_t confirmed_at = qr_vouched_until(n->q) - CK_MS(n->s->election_ms);
@@ -332,7 +338,7 @@
         ct_send_conn(c, &m);
 }
 
-/* The part of the answer that every renewal gets. */
+/* The part of the grant that is common to all renewals. */
 static struct wr_msg make_grant(struct ct_node *n, const struct wr_renew *r)
 {
     struct wr_msg m = {.type = WR_GRANT};
@@ -341,8 +347,9 @@
     return m;
 }
 
-/* An observer sends callers here for a while. That is no lease: a node that does not lead any
- * more sends them on, and nothing has to wait until an observer knows. */
+/* An observer redirects callers to this node for the granted time. This is not a lease: a node
+ * that no longer leads redirects them again, so no change has to wait until observers know of
+ * it. */
 static void grant_observer(struct ct_conn *c, const struct wr_renew *r)
 {
     struct wr_msg m = make_grant(c->node, r);
--- a/control/promotions.c
+++ b/control/promotions.c
@@ -1,4 +1,5 @@
-/* Promotions: what promote/ decides for each group, carried out. */
+/* Changes of primary where instances obey fences: carries out what promote/ decides for each
+ * group. */
 #include <stdlib.h>
 
 #include "control/control.h"
--- a/control/takeovers.c
+++ b/control/takeovers.c
@@ -1,13 +1,14 @@
-/* Changes of primary that the platform carries out: what takeover/ decides, carried out. */
+/* Changes of primary that the platform carries out: sends the orders that takeover/ decides on.
+ */
 #include "control/control.h"
 #include "misc/clock.h"
 
 enum {
-    /* Origin of each: measured on the users' platform; docs/design/platform.md. */
     ANSWER_TIMEOUT_US = 1000000, /* the platform answers in milliseconds or not at all */
-    LEAD_TIMEOUT_US = 3000000,   /* it takes 300 to 600 ms until the instance leads */
-    SETTLE_US = 800000, /* replicas receive within a network trip; deaf ones not for seconds */
-    RECHECK_US = 250000,
+    LEAD_TIMEOUT_US = 3000000,   /* an ordered instance is primary after 300 to 600 ms */
+    SETTLE_US = 800000, /* a working replica receives within one network trip, a failing one not
+                         * for seconds */
+    RECHECK_US = 250000, /* until entry nodes that reported the primary up are asked again */
 };
 
 static void begin(struct ct_node *n, struct ct_group *g)
@@ -31,8 +32,8 @@
     return map[h];
 }
 
-/* This node's own probes are evidence; what entry nodes report only leads to all being asked.
- */
+/* Only this node's own probes count as evidence; a report of an entry node makes the leader
+ * request checks from all entry nodes. */
 static void probed(struct ct_group *g, const char *inst, uint64_t vantage, const char *domain,
                    enum pr_health health)
 {
@@ -74,7 +75,7 @@
         tl_add(n->tl, TL_DOWN, g->name, a->term, "%s", g->tk.why);
         FL_EVENT(&n->log, LG_INFO, "change_of_primary", "group=%s term=%llu kind=%s why=%s",
                  g->name, (unsigned long long)a->term, vw_change_name(kind),
-                 g->tk.why[0] ? g->tk.why : "tried again");
+                 g->tk.why[0] ? g->tk.why : "retry");
     }
     ct_propose_for_group(n, g, a->inst, &ch);
 }
--- a/control/watch.c
+++ b/control/watch.c
@@ -1,4 +1,4 @@
-/* Instances: connections, probes, and the evidence that comes from them. */
+/* Connections to instances, probes, and the reports on instances' health. */
 #include <stdlib.h>
 
 #include <xxhash.h>
@@ -8,20 +8,19 @@
 
 enum {
     RECONNECT_DELAY_US = 30000,
-    RECONNECT_AFTER_SILENCES =
-        3, /* a connection is made anew after so many times what counts as silent */
+    RECONNECT_AFTER_SILENCES = 3, /* a connection is closed after so many silence limits */
     FRESH_PROBE_INTERVALS = 4,
-    /* Probes of a calm replica are so many times rarer: each takes a slot and bytes. With three
-     * instances a group that is 4 probes of 9 fewer. */
+    /* Factor on the interval between probes of a replica that answers: each probe costs a slot
+     * and bytes. With three instances per group this saves 4 of 9 probes. */
     CALM_REPLICA_PROBE_FACTOR = 3,
     REPORT_AFTER_CHANGE_US = 1000000,
-    CALM_GROUP_TICKS = 10, /* ticks between two looks at a group where nothing is under way */
-    /* Connections made or closed in a tick: all of a thousand in one would take a new leader
-     * longer than its followers wait for a heartbeat. */
+    CALM_GROUP_TICKS = 10, /* a calm group is ticked once in so many ticks */
+    /* Connections opened or closed per tick: a new leader that opened a thousand in one tick
+     * would send its next heartbeat after its followers' election timeout. */
     CONN_CHANGES_PER_TICK = 16,
 };
 
-/* ---- finding ---- */
+/* ---- lookup ---- */
 
 struct ct_group *ct_group_of(struct ct_node *n, const char *name)
 {
@@ -29,7 +28,7 @@
     return i == IX_NONE ? NULL : n->groups[i];
 }
 
-/* The group of the instance that a message names; its id goes to `id`. */
+/* The group of the instance `inst` of a message, or NULL; copies the instance's id to `id`. */
 static struct ct_group *group_of_instance(struct ct_node *n, struct sr_str inst,
                                           char id[VW_NAME])
 {
@@ -134,22 +133,23 @@
         free(in);
         return;
     }
-    /* A connection that was good is tried anew at once: a refusal tells that the process died.
-     */
+    /* After the loss of an open connection the next attempt follows at once: if it is refused,
+     * the process has died. */
     in->next_connect = ck_now() + (opened ? 0 : RECONNECT_DELAY_US);
     enum pr_health h = refused ? PR_REFUSED : PR_SILENT;
     bool health_changed = in->health != h;
     set_health(in, h);
     if (health_changed)
-        send_probes(in->node); /* a death is worth a message of its own */
+        send_probes(in->node); /* the leader must learn of a failure at once */
     if (in->node->leading)
         ct_group_tick(in->node, in->group);
 }
 
 static const struct ep_events events = {on_open, on_reply, on_push, on_close};
 
-/* Between two probes of an instance: as set, or longer if there are so many that the node would
- * send more than control.probe_rate. A closed connection is noticed at once all the same. */
+/* Interval between two probes of an instance: control.probe_ms, or longer if there are so many
+ * instances that the node would send more than control.probe_rate per second. A closed
+ * connection is noticed at once in any case. */
 static int64_t probe_interval_us(const struct ct_node *n)
 {
     int64_t by_rate = CK_SEC(1) * n->n_insts / n->s->probe_rate;
@@ -157,8 +157,8 @@
     return by_rate > set ? by_rate : set;
 }
 
-/* A replica of a group that serves is asked more rarely: entry nodes notice by themselves what
- * does not answer reads, and a change of primary asks all anew. */
+/* A replica of a serving group is probed less often: entry nodes notice themselves when a
+ * replica does not answer reads, and a change of primary probes all instances again. */
 static int64_t inst_probe_interval_us(const struct ct_inst *in)
 {
     const struct ct_group *g = in->group;
@@ -167,7 +167,7 @@
     return probe_interval_us(in->node) * (is_calm && !primary ? CALM_REPLICA_PROBE_FACTOR : 1);
 }
 
-/* Silent means that three probes went unanswered. */
+/* An instance is silent when three probes went unanswered and control.silence_ms has passed. */
 static int64_t silence_limit_us(const struct ct_inst *in)
 {
     int64_t three = 3 * inst_probe_interval_us(in), set = CK_MS(in->node->s->silence_ms);
@@ -177,22 +177,24 @@
 void ct_probe(struct ct_inst *in, int64_t now)
 {
     struct ep_request q = {.op = EP_STATUS};
-    /* The first goes out at once, the next at a time of the instance's own: thousands that were
-     * connected together are not to be probed together for ever. */
+    /* The first probe is sent at once, the next after an offset that depends on the instance's
+     * id, so that thousands of instances that were connected together are not probed together.
+     */
     int64_t every = probe_interval_us(in->node);
     int64_t offset = (int64_t)(XXH64(in->id, strlen(in->id), 0) % (uint64_t)every);
     in->probed_at = in->probed_at ? now : now - offset;
     ct_send_op(in, &q);
 }
 
-/* Where connections to instances are scarce only the leader has one. */
+/* The platform's instances allow few connections, so only the leader connects to them. */
 static bool connects_to_instances(const struct ct_node *n)
 {
     return !n->platform || n->leading;
 }
 
-/* Whether a connection may be made or closed in this tick; if not, the next one begins with
- * this group, so that those that refuse don't keep others from their turn. */
+/* Whether a connection may be opened or closed in this tick; if not, the next tick begins with
+ * this group, so that instances that refuse connections don't keep the others from being
+ * connected. */
 static bool may_change_conn(struct ct_node *n, int group)
 {
     if (n->conn_changes_left > 0) {
@@ -204,7 +206,8 @@
     return false;
 }
 
-/* Probes go out on time whether or not the last one was answered: slow is not silent. */
+/* Probes are sent on time whether or not the last one was answered: a slow instance is not
+ * silent. */
 static void inst_tick(struct ct_inst *in, int group, int64_t now)
 {
     const struct st_settings *s = in->node->s;
@@ -225,7 +228,7 @@
     }
     if (!in->open && now - in->connecting_since > silence_limit_us(in))
         set_health(in, PR_SILENT);
-    /* A connection may be silent for good while a new one would work. */
+    /* A connection may have failed unnoticed while a new one would work. */
     if (now - (in->open ? in->replied_at : in->connecting_since) >
         RECONNECT_AFTER_SILENCES * silence_limit_us(in)) {
         in->node->driver->close(in->conn);
@@ -243,7 +246,7 @@
     }
 }
 
-/* ---- groups follow the view ---- */
+/* ---- groups and instances of the view ---- */
 
 static struct ct_inst *inst_new(struct ct_node *n, struct ct_group *g,
                                 const struct vw_instance *v)
@@ -270,7 +273,7 @@
         free(in);
 }
 
-/* As the document in force says, else as the instance's entry does. */
+/* From the configuration document in force if it has a value, else from the view. */
 static int max_conns(const struct ct_node *n, const struct ct_group *g,
                      const struct vw_instance *in)
 {
@@ -356,7 +359,7 @@
     }
 }
 
-/* ---- evidence from others ---- */
+/* ---- reports from other nodes ---- */
 
 static enum pr_health health_of(enum wr_health h)
 {
@@ -399,14 +402,14 @@
     ct_group_tick(n, g);
 }
 
-/* Whether the leader should hear of it now: it is not up, or that has just changed. What is up
- * and stays so costs no message. */
+/* Whether the instance's health is reported to the leader: it is not up, or its health changed
+ * less than REPORT_AFTER_CHANGE_US ago. An instance that stays up costs no message. */
 static bool must_report(const struct ct_inst *in, int64_t now)
 {
     return in->health != PR_UP || now - in->health_changed_at < REPORT_AFTER_CHANGE_US;
 }
 
-/* What this node's probes see goes to the leader. */
+/* Sends the results of this node's probes to the leader. */
 static void send_probes(struct ct_node *n)
 {
     static const enum wr_health map[] = {WR_UNKNOWN, WR_OK, WR_SILENT, WR_REFUSED};
@@ -447,8 +450,9 @@
     return r->following == v->term && ps_cmp(r->held, p->held) >= 0;
 }
 
-/* Nothing is under way and the primary answers: whatever ends that is news, which ticks the
- * group at once. Every group at every tick would be 7 % of a core for 940 of them. */
+/* Whether no change of primary is running and the primary answers. Each event that ends this
+ * state ticks the group at once; ticking all of 940 groups at every tick would take 7 % of a
+ * core. */
 static bool is_calm(const struct ct_node *n, const struct ct_group *g)
 {
     if (g->phase != VW_SERVING || n->failover->busy(g) || g->primary < 0)
