--- a/control/commit_wait.c
+++ b/control/commit_wait.c
@@ -1,8 +1,8 @@
-/* Outside requests that wait until the log has what they asked for. */
+/* Outside requests that wait until the entry of the log that they caused is committed. */
 #include "control/control.h"
 #include "misc/clock.h"
 
-/* Callers give up on a node after a second without an answer; what comes later is not read. */
+/* Requesters disconnect from a node after 1 s without an answer and read no later one. */
 enum { COMMIT_TIMEOUT_US = 3000000 };
 
 bool ct_may_answer(const struct ct_node *n, struct er_err *err)
@@ -12,7 +12,7 @@
     const char *ip = ct_leader_ip(n);
     if (ip[0] && qr_role(n->q) != QR_LEADER)
         return er_set(err, ER_NOT_LEADER, "%s leads", ip);
-    return er_set(err, ER_NO_QUORUM, "no leader is known that a quorum vouches for");
+    return er_set(err, ER_NO_QUORUM, "no leader confirmed by a quorum is known");
 }
 
 const char *ct_leader_ip(const struct ct_node *n)
@@ -59,7 +59,7 @@
         return;
     }
     struct er_err err = {0};
-    er_set(&err, ER_OVERLOAD, "%d requests wait for the log", CT_MAX_COMMIT_WAITS);
+    er_set(&err, ER_OVERLOAD, "%d requests already wait for a commit", CT_MAX_COMMIT_WAITS);
     done(n, c, &err);
 }
 
@@ -71,15 +71,16 @@
         if (!w->index || w->index > e->index)
             continue;
         if (w->index != e->index || w->term != e->term)
-            er_set(&err, ER_NO_QUORUM, "another entry stands at its place in the log");
+            er_set(&err, ER_NO_QUORUM, "another entry has its index in the log");
         finish(w, &err);
     }
 }
 
+/* Ends a wait whose entry may still be committed by a later leader. */
 static void give_up(struct ct_commit_wait *w, const char *why)
 {
     struct er_err err = {0};
-    er_set(&err, ER_NO_QUORUM, "%s; it may be in force or not", why);
+    er_set(&err, ER_NO_QUORUM, "%s; the change may or may not be committed", why);
     finish(w, &err);
 }
 
@@ -87,7 +88,7 @@
 {
     for (int i = 0; i < CT_MAX_COMMIT_WAITS; i++) {
         if (n->commit_waits[i].index)
-            give_up(&n->commit_waits[i], "this node does not lead any more");
+            give_up(&n->commit_waits[i], "this node no longer leads");
     }
 }
 
--- a/control/consensus.c
+++ b/control/consensus.c
@@ -1,4 +1,5 @@
-/* The agreement core's actions: the disk, other voters, and the view. */
+/* The replicated log's callbacks (messages to other voters, writes to disk, committed entries)
+ * and the view that the committed changes build. */
 #include <stdlib.h>
 
 #include "control/control.h"
@@ -6,11 +7,12 @@
 #include "misc/pack.h"
 
 enum {
-    /* The log is replaced by a snapshot once it holds so many times its bytes: a restart then
-     * applies a few documents at most, and a snapshot is written for that many changes. */
+    /* The log is replaced by a snapshot when it has this many times the snapshot's bytes: a
+     * restart then applies a few documents at most, and a snapshot is written only once for
+     * many changes. */
     SNAPSHOT_LOG_FACTOR = 3,
-    SNAPSHOT_MIN_BYTES = 64 * 1024, /* a shorter log is applied within some milliseconds */
-    MAX_TEXT_BYTES = 16 << 20,      /* bytes of an entry or a snapshot, inflated */
+    SNAPSHOT_MIN_BYTES = 64 * 1024, /* a shorter log is applied in milliseconds */
+    MAX_TEXT_BYTES = 16 << 20,      /* of an entry or a snapshot, uncompressed */
 };
 
 static void on_send(void *ud, const struct qr_msg *m)
@@ -58,7 +60,7 @@
     return text;
 }
 
-/* Number of the oldest change that is remembered; n->n_past if none is. */
+/* Number of the oldest change that is kept; n->n_history if none is. */
 static uint64_t history_oldest(const struct ct_node *n)
 {
     return n->n_history > CT_HISTORY_CHANGES ? n->n_history - CT_HISTORY_CHANGES : 0;
@@ -69,7 +71,7 @@
     return &n->history[k % CT_HISTORY_CHANGES];
 }
 
-/* Index of the newest remembered change that is a document; 0 none. */
+/* Log index of the newest kept change that is a configuration document; 0: none. */
 static uint64_t newest_document(const struct ct_node *n)
 {
     uint64_t oldest = history_oldest(n);
@@ -101,7 +103,7 @@
     for (; k < n->n_history; k++) {
         const struct ct_past_change *p = history_at(n, k);
         if (p->document && p->index < newest)
-            continue; /* a document replaces the one before as a whole */
+            continue; /* the newest document replaces all earlier ones as a whole */
         sr_buf_printf(&b, "%s[%llu,%s]", b.len > 1 ? "," : "", (unsigned long long)p->index,
                       p->text);
     }
@@ -127,7 +129,7 @@
                "%s %s", vw_change_name(ch->kind), ch->instance);
 }
 
-/* An entry's or a snapshot's text, and what it says; NULL if it can't be read. */
+/* Unpacks an entry or a snapshot into `text` and parses it; NULL with *err on failure. */
 static json_t *parse_text(const char *data, uint32_t len, struct sr_buf *text,
                           struct er_err *err)
 {
@@ -135,7 +137,7 @@
         return NULL;
     json_t *j = json_loadb(text->p ? text->p : "", text->len, 0, NULL);
     if (!j)
-        er_set(err, ER_CORRUPT, "%zu bytes are no JSON", text->len);
+        er_set(err, ER_CORRUPT, "%zu bytes are not valid JSON", text->len);
     return j;
 }
 
@@ -147,7 +149,8 @@
     json_t *j = parse_text(data, len, &text, &err);
     bool ok = j && vw_change_parse(j, &ch, &err);
     if (!ok) {
-        FL_ERR(&n->log, "entry %llu is no change: %s", (unsigned long long)index, err.text);
+        FL_ERR(&n->log, "entry %llu is not a valid change: %s", (unsigned long long)index,
+               err.text);
         goto done;
     }
     n->counters.applied++;
@@ -167,7 +170,7 @@
         }
     } else {
         n->counters.refused_changes++;
-        FL_VERBOSE(&n->log, "change %llu (%s) does not fit: %s", (unsigned long long)index,
+        FL_VERBOSE(&n->log, "change %llu (%s) was refused: %s", (unsigned long long)index,
                    vw_change_name(ch.kind), err.text);
     }
     ct_ops_applied(n, &ch, &err);
@@ -194,7 +197,7 @@
     struct sr_buf text = {0};
     json_t *j = parse_text(data, len, &text, &err);
     if (!j || !vw_view_parse(j, &n->view, &err))
-        FL_ERR(&n->log, "snapshot: %s", err.text);
+        FL_ERR(&n->log, "can't load the snapshot: %s", err.text);
     n->snapshot_bytes = text.len;
     json_decref(j);
     sr_buf_free(&text);
@@ -208,7 +211,7 @@
     n->applied_bytes = 0;
     ct_load_document(n);
     ct_groups_sync(n);
-    FL_INFO(&n->log, "restored from a snapshot up to %llu", (unsigned long long)index);
+    FL_INFO(&n->log, "restored a snapshot up to entry %llu", (unsigned long long)index);
 }
 
 static void on_role(void *ud)
@@ -218,13 +221,15 @@
     if (leads == n->was_leader)
         return;
     n->was_leader = leads;
-    n->leading = false; /* until a quorum vouches and this term's first entry is applied */
+    /* A new leader begins when a quorum has confirmed it and its term's first entry is applied.
+     */
+    n->leading = false;
     if (!leads)
         ct_commit_waits_abort(n);
     tl_add(n->tl, leads ? TL_LEADER : TL_DEPOSED, "", qr_term(n->q),
-           leads ? "elected in term %llu" : "no longer leads, term %llu",
+           leads ? "elected leader in term %llu" : "no longer leader, term %llu",
            (unsigned long long)qr_term(n->q));
-    FL_INFO(&n->log, leads ? "leads term %llu" : "does not lead any more, term %llu",
+    FL_INFO(&n->log, leads ? "leads term %llu" : "no longer leads, term %llu",
             (unsigned long long)qr_term(n->q));
 }
 
@@ -237,7 +242,7 @@
 {
     if (!ct_quorum_confirmed(n))
         return er_set(err, qr_role(n->q) == QR_LEADER ? ER_NO_QUORUM : ER_NOT_LEADER,
-                      "this node can't change the configuration now");
+                      "this node is not a confirmed leader now");
     return ct_propose_unconfirmed(n, ch, index, err);
 }
 
@@ -251,12 +256,12 @@
     char *s = json_dumps(j, JSON_COMPACT);
     size_t len = strlen(s);
     struct vw_change back;
-    /* What can't be read back would be committed and then applied nowhere. */
+    /* A change that can't be parsed would be committed and then applied by no node. */
     bool readable = vw_change_parse(j, &back, err);
     json_decref(j);
     bool fits = len <= (ch->kind == VW_CH_DOCUMENT ? QR_MAX_ENTRY : VW_CHANGE_MAX);
     if (!fits)
-        er_set(err, ER_TOO_LARGE, "a change of %zu bytes", len);
+        er_set(err, ER_TOO_LARGE, "a change of %zu bytes is too large", len);
     struct sr_buf packed = {0};
     if (readable && fits)
         pk_pack((struct sr_str){s, len}, &packed);
@@ -270,7 +275,8 @@
     return ok;
 }
 
-/* What a restart has to apply before this node can lead: many entries, or large ones. */
+/* Whether the log has so many entries or bytes that applying them would delay a restarted node
+ * too long before it can lead. */
 static bool log_is_long(const struct ct_node *n)
 {
     uint64_t commit = qr_commit(n->q), first = qr_first(n->q);
--- a/control/control.c
+++ b/control/control.c
@@ -1,3 +1,4 @@
+/* Creates and stops the control role, runs its periodic work, and starts a new leader. */
 #include "control/control.h"
 
 #include <stdlib.h>
@@ -10,8 +11,8 @@
 enum {
     TICK_US = 5000,
     STOP_TIMEOUT_US = 1000000,
-    /* The platform's instances drop a connection whose far end is dark after 3 s (its pages).
-     */
+    /* The platform's instances close a connection after its peer has been unreachable for 3 s
+     * (documented by the platform). */
     PLATFORM_FORGET_US = 3000000,
 };
 
@@ -35,7 +36,7 @@
     return "";
 }
 
-/* ---- beginning to lead ---- */
+/* ---- start of a leader's term ---- */
 
 static void propose_groups(struct ct_node *n)
 {
@@ -62,8 +63,9 @@
     n->pace = (struct vp_pace){0};
     vp_tick(&n->pace, 0, 0, now);
     ls_giver_begin(&n->leases, CK_MS(n->s->lease_ms), now, first);
-    /* Instances that count their connections themselves refuse one too many, at the cost of a
-     * try: a new leader need not wait for its predecessor's shares. */
+    /* Instances of the platform limit their connections themselves and refuse any above the
+     * limit, which costs the node one retry: a new leader need not wait until the shares that
+     * its predecessor assigned have expired. */
     bool await_shares = !first && !n->platform;
     sh_begin(&n->shares, await_shares ? now + CK_MS(n->s->lease_ms) * 11 / 10 : now);
     ct_limits_begin(n, first, now);
@@ -78,7 +80,7 @@
         c->pending_view = (struct pv_pending_view){0};
         ct_announce_leader(c);
     }
-    FL_INFO(&n->log, "a quorum vouches for term %llu, generation %llu",
+    FL_INFO(&n->log, "a quorum confirmed this leader in term %llu, generation %llu",
             (unsigned long long)qr_term(n->q), (unsigned long long)n->view.generation);
     if (first)
         propose_groups(n);
@@ -92,7 +94,7 @@
     n->measured_generation = 0;
 }
 
-/* ---- time, disk, stopping ---- */
+/* ---- ticks, disk, stopping ---- */
 
 static void finish_stop(struct ct_node *n, bool failed)
 {
@@ -101,8 +103,9 @@
     n->stopped(n->stopped_ud, failed);
 }
 
-/* A voter whose disk has no room stays: it acknowledges and votes for nothing that it can't
- * keep, so others decide without it, and it goes on by itself once there is room. */
+/* A voter whose disk is full keeps running: it acknowledges no entry and grants no vote that it
+ * can't store, so the other voters decide without it. It continues by itself when there is
+ * space again. */
 static void check_disk_space(struct ct_node *n)
 {
     struct er_err err = {0};
@@ -114,7 +117,7 @@
         tl_add(n->tl, TL_DISK, "", 0, "full: %.100s", err.text);
         FL_EVENT(&n->log, LG_ERR, "disk_full", "folder=%s why=%s", n->s->data, err.text);
     } else {
-        tl_add(n->tl, TL_DISK, "", 0, "has room again");
+        tl_add(n->tl, TL_DISK, "", 0, "has space again");
         FL_EVENT(&n->log, LG_INFO, "disk_has_room", "folder=%s", n->s->data);
     }
 }
@@ -130,7 +133,7 @@
         tl_add(n->tl, TL_DISK, "", 0, "%.100s", err.text);
         FL_FATAL(&n->log,
                  "%s; this voter stops: free or replace the disk, then start it again (its "
-                 "folder is good up to the last sync) or replace it",
+                 "data is intact up to the last sync) or replace it",
                  err.text);
         finish_stop(n, true);
         return;
@@ -186,8 +189,8 @@
 
 /* ---- creation ---- */
 
-/* The first voters' identities follow from the cluster's and their names, so that they can be
- * told to one another before any of them runs. */
+/* The initial voters' ids are computed from the cluster's name and theirs, so that each knows
+ * the others' ids before any of them runs. */
 static uint64_t initial_identity(const struct st_settings *s, const char *name)
 {
     uint64_t h = XXH64(s->cluster, strlen(s->cluster), 7);
@@ -208,7 +211,8 @@
     }
 }
 
-/* Whether this node is one of the first voters, where the seeds are these. */
+/* Whether this node is one of the seeds; where nodes register, the seeds are the initial
+ * voters. */
 static bool is_seed(const struct st_settings *s)
 {
     for (int i = 0; i < s->n_voters; i++) {
@@ -229,15 +233,15 @@
         return false;
     n->id = disk->identity;
     if (disk->torn_bytes)
-        FL_WARN(&n->log, "%llu bytes of an unfinished write were cut off the log",
+        FL_WARN(&n->log, "%llu bytes of an incomplete write were removed from the log",
                 (unsigned long long)disk->torn_bytes);
     if (disk->fresh && !bootstrap && !s->registers)
         FL_WARN(&n->log,
                 "%s was empty: this is a new member, id %llx; it votes once an operator has "
-                "let it in (ferryctl plan replace)",
+                "added it (ferryctl plan replace)",
                 s->data, (unsigned long long)n->id);
-    /* One of the first voters, without a snapshot: the list is that of the settings, as they
-     * were then. */
+    /* An initial voter without a snapshot starts with the members that the settings listed when
+     * the cluster was created. */
     bool founder = n->id == initial_identity(s, s->name);
     if (!founder || disk->restore.snap_index != 0)
         return true;
--- a/control/documents.c
+++ b/control/documents.c
@@ -1,5 +1,5 @@
-/* Configuration documents: checked whole before they are proposed, acknowledged when committed.
- */
+/* Configuration documents: each is checked completely before it is proposed and acknowledged
+ * when it is committed. */
 #include "control/control.h"
 #include "member/member.h"
 #include "misc/clock.h"
@@ -21,10 +21,11 @@
     struct vw_change ch = {.kind = VW_CH_DOCUMENT, .text = text};
     struct er_err why = {0};
     uint64_t index;
-    /* Reading takes long, a leader's vouching may run out by that alone. */
+    /* Parsing takes so long that the quorum's confirmation of this leader may expire meanwhile,
+     * so it is tested before. */
     bool may_answer = ct_may_answer(n, &why);
     qr_beat(n->q, ck_now());
-    /* Not valid here is not valid anywhere: no leader is needed to say so. */
+    /* An invalid document is invalid on all nodes, so any node may refuse it. */
     if (!cg_read(n->platform->documents, text, &cat, err)) {
         FL_EVENT(&n->log, LG_INFO, "document_refused", "detail=%s", err->text);
         return false;
@@ -36,9 +37,9 @@
         return false;
     }
     if (ch.version <= n->view.doc.version)
-        return true; /* the higher one holds; this one changes nothing */
+        return true; /* a document with the same or a higher version is in force */
     if (count_voters(n) < mb_needed(n->s->tolerates))
-        return er_set(err, ER_NO_QUORUM, "%d voters, expected %d before anything is promised",
+        return er_set(err, ER_NO_QUORUM, "%d voters, expected at least %d to commit",
                       count_voters(n), mb_needed(n->s->tolerates));
     if (!ct_propose_unconfirmed(n, &ch, &index, err))
         return false;
@@ -51,7 +52,7 @@
     if (!ct_may_answer(n, err))
         return false;
     if (!n->view.doc.version)
-        return er_set(err, ER_NO_QUORUM, "no document is in force yet");
+        return er_set(err, ER_NO_QUORUM, "no configuration document is in force yet");
     *text = (struct sr_str){n->view.doc.text, n->view.doc.len};
     return true;
 }
@@ -66,7 +67,7 @@
     struct sr_str text = {n->view.doc.text, n->view.doc.len};
     qr_beat(n->q, ck_now());
     if (!cg_read(n->platform->documents, text, &cat, &err)) {
-        FL_ERR(&n->log, "document %llu is in the log but can't be read: %s",
+        FL_ERR(&n->log, "configuration document %llu is in the log but can't be read: %s",
                (unsigned long long)n->view.doc.version, err.text);
         return;
     }
--- a/control/initial_voters.c
+++ b/control/initial_voters.c
@@ -1,5 +1,6 @@
-/* The first voters of a cluster, as they were when it was made, in a file of the data folder:
- * settings may name others by the time a founder starts again with nothing in its log yet. */
+/* The initial voters of a cluster, stored in the file `founders` of the data folder when the
+ * cluster is created: the settings may list other nodes by the time an initial voter restarts
+ * with an empty log. */
 #include <errno.h>
 #include <fcntl.h>
 #include <stdlib.h>
@@ -50,7 +51,8 @@
     return ok || er_set(err, ER_CORRUPT, "%s: expected a list of members", path);
 }
 
-/* Written beside, synced, renamed, and the folder synced: it is there whole or not at all. */
+/* Writes a temporary file, syncs it, renames it and syncs the folder, so that the file exists
+ * completely or not at all. */
 static bool write_file(const char *dir, const char *path, const char *text, struct er_err *err)
 {
     char tmp[MAX_PATH_BYTES + 8];
@@ -83,7 +85,7 @@
     }
     int fd = open(path, O_RDONLY);
     if (fd < 0 && errno == ENOENT)
-        return true; /* it lost power before its first start was done: the others know it */
+        return true; /* the node lost power during its first start; the other voters know it */
     if (fd < 0)
         return disk_error(path, err);
     ssize_t len = read(fd, text, sizeof(text) - 1);
--- a/control/intents.c
+++ b/control/intents.c
@@ -1,4 +1,4 @@
-/* Intents: the leader takes the next action of each that runs. */
+/* Intents: the leader carries out the next action of each running intent. */
 #include "control/control.h"
 #include "misc/clock.h"
 
@@ -30,7 +30,7 @@
     bool ok = true;
     switch (a->kind) {
     case IT_WAIT:
-        FL_DBG(&n->log, "intent %s waits: %s", it->id, a->note);
+        FL_DBG(&n->log, "intent %s is waiting: %s", it->id, a->note);
         break;
     case IT_CHANGE:
         ok = ct_propose(n, &a->change, &n->step_index, &err);
@@ -52,7 +52,7 @@
         break;
     }
     if (!ok)
-        FL_VERBOSE(&n->log, "intent %s: %s; tried again", it->id, err.text);
+        FL_VERBOSE(&n->log, "intent %s: %s; will be retried", it->id, err.text);
 }
 
 static void advance(struct ct_node *n, const struct vw_intent *it, const struct it_facts *f)
@@ -71,8 +71,8 @@
     perform(n, it, &a);
 }
 
-/* Whether every entry node has acted on the current view for a few probes: what the probes say
- * since then counts. */
+/* Whether every entry node has acted on the current view for more than four probe intervals:
+ * only the results of probes since then are used. */
 static bool in_force_settled(struct ct_node *n, int64_t now)
 {
     if (!ct_in_force(n, n->view.generation)) {
@@ -100,7 +100,7 @@
     for (int i = 0; i < n->view.n_intents; i++) {
         if (n->view.intents[i].state != VW_RUNNING)
             continue;
-        struct vw_intent it = n->view.intents[i]; /* the view may move under it */
+        struct vw_intent it = n->view.intents[i]; /* a copy: a proposal may change the view */
         advance(n, &it, &f);
         if (qr_commit(n->q) < n->step_index)
             return; /* one proposal at a time */
--- a/control/members.c
+++ b/control/members.c
@@ -1,5 +1,6 @@
-/* Voters come and go without an operator: what member/ decides, carried out by the leader. And
- * where the control nodes are, told to whoever is connected. */
+/* Adds, promotes and removes members of the quorum without an operator: the leader carries out
+ * what member/ decides. Also sends the addresses of the control nodes to connected processes.
+ */
 #include <xxhash.h>
 
 #include "control/control.h"
@@ -84,7 +85,8 @@
         FL_EVENT(&n->log, LG_INFO, "member_changed", "member=%llx step=%s why=%s",
                  (unsigned long long)a->id, names[a->step], a->why);
     else
-        FL_DBG(&n->log, "member %llx: %s; tried again", (unsigned long long)a->id, err.text);
+        FL_DBG(&n->log, "member %llx: %s; will be retried", (unsigned long long)a->id,
+               err.text);
 }
 
 void ct_members_tick(struct ct_node *n, int64_t now)
--- a/control/ops.c
+++ b/control/ops.c
@@ -1,4 +1,5 @@
-/* Operators' HTTP. Reading changes nothing; a change is answered once it is committed. */
+/* The operators' HTTP interface: status, metrics, plans, and confirmed intents, which are
+ * answered when they are committed. */
 #include <stdlib.h>
 
 #include "control/control.h"
@@ -22,7 +23,7 @@
     send_json(c, er_http(e->kind), o);
 }
 
-/* ---- reading ---- */
+/* ---- status ---- */
 
 static json_t *members_json(struct ct_node *n)
 {
@@ -187,7 +188,7 @@
 {
     if (!ct_quorum_confirmed(n) || !n->leading)
         return er_set(err, qr_role(n->q) == QR_LEADER ? ER_NO_QUORUM : ER_NOT_LEADER,
-                      "ask the leader");
+                      "this node is not a confirmed leader");
     return it_parse(args, r, err) && it_plan(&n->view, qr_members(n->q), r, p, err);
 }
 
@@ -198,7 +199,7 @@
     struct er_err err = {0};
     json_t *args = json_loadb(req->body, req->body_len, 0, NULL);
     if (!args)
-        er_set(&err, ER_BAD_INPUT, "the body is no JSON");
+        er_set(&err, ER_BAD_INPUT, "the body is not valid JSON");
     if (!args || !make_plan(n, args, &p, &r, &err)) {
         send_error(n, req->conn, &err);
         json_decref(args);
@@ -263,15 +264,15 @@
         !copy_field(o, "digest", digest, sizeof(digest), err))
         return false;
     if (vw_intent(&n->view, it->id))
-        return true; /* a resend: the answer is there */
+        return true; /* a repeated request: the intent is in the view */
     if (it->number == 0)
-        return er_set(err, ER_BAD_INPUT, "number: expected the plan's, 1 or more");
+        return er_set(err, ER_BAD_INPUT, "number: expected the plan's number, 1 or more");
     if (!make_plan(n, args, &p, &r, err))
         return false;
     if (strcmp(digest, p.digest) != 0)
         return er_set(err, ER_STALE_PLAN,
-                      "the world has moved since the plan was made (digest %s, now %s): plan "
-                      "again and read it",
+                      "the configuration changed since the plan was made (digest %s, now "
+                      "%s): make and read a new plan",
                       digest, p.digest);
     char *s = json_dumps(args, JSON_COMPACT | JSON_SORT_KEYS);
     bool fits = sr_copy(it->args, sizeof(it->args), sr_from(s));
@@ -289,7 +290,7 @@
     struct er_err err = {0};
     json_t *o = json_loadb(req->body, req->body_len, 0, NULL);
     bool ok = o ? parse_intent(n, o, &ch.intent, &err)
-                : er_set(&err, ER_BAD_INPUT, "the body is no JSON");
+                : er_set(&err, ER_BAD_INPUT, "the body is not valid JSON");
     json_decref(o);
     json_t *known = ok ? intent_json(&n->view, ch.intent.id) : NULL;
     if (known && ct_quorum_confirmed(n)) {
@@ -302,7 +303,7 @@
     else if (!await_commit(n, req->conn, ch.intent.id))
         send_json(req->conn, 503,
                   json_pack("{s:s,s:s}", "reason", "overload", "detail",
-                            "too many operators wait; resend with the same id"));
+                            "too many requests wait; resend with the same id"));
 }
 
 void ct_ops_applied(struct ct_node *n, const struct vw_change *ch, const struct er_err *err)
@@ -334,7 +335,7 @@
         w->conn = NULL;
         send_json(c, 504,
                   json_pack("{s:s,s:s}", "reason", "unknown", "detail",
-                            "not committed yet and may still be: resend with the same id"));
+                            "not committed yet, but may be later: resend with the same id"));
     }
 }
 
@@ -360,7 +361,7 @@
     } else {
         send_json(req->conn, 404,
                   json_pack("{s:s,s:s}", "reason", "bad_input", "detail",
-                            "no such page; see docs/INTERFACES.md"));
+                            "unknown path; see docs/INTERFACES.md"));
     }
 }
 
@@ -382,7 +383,7 @@
 {
     (void)c;
     (void)ud;
-    return NULL; /* operators speak HTTP only */
+    return NULL; /* this port accepts HTTP only */
 }
 
 bool ct_ops_listen(struct ct_node *n, struct er_err *err)
--- a/control/peers.c
+++ b/control/peers.c
@@ -1,12 +1,14 @@
-/* Sockets between processes: those that others opened to us, and ours to other control nodes.
- */
+/* Connections between processes: those that control nodes, entry nodes and observers opened to
+ * this node, and those that this node opened to other control nodes. A control node sends
+ * quorum messages and the results of its probes on the connection that it opened itself. */
 #include <stdlib.h>
 
 #include "control/control.h"
 #include "misc/clock.h"
 
 enum {
-    FORGET_ADDRESS_US = 10000000, /* an address where nobody of ours answers is forgotten */
+    FORGET_ADDRESS_US = 10000000, /* an address without a member is dropped after it did not
+                                     answer for this time */
     MAX_PEER_QUEUE_BYTES = 4 << 20
 };
 
@@ -25,7 +27,7 @@
         send_msg(c->node, c->net, m);
 }
 
-/* ---- our connections to other control nodes ---- */
+/* ---- connections to other control nodes ---- */
 
 static struct ct_peer *peer_of(struct ct_node *n, uint64_t id)
 {
@@ -36,7 +38,8 @@
     return NULL;
 }
 
-/* A peer that can't take messages loses them: the core sends anew what matters. */
+/* Messages to a peer that is not connected or too slow are dropped: the quorum protocol sends
+ * them again where needed. */
 void ct_send_peer(struct ct_node *n, uint64_t id, const struct wr_msg *m)
 {
     struct ct_peer *p = peer_of(n, id);
@@ -63,8 +66,8 @@
     return NULL;
 }
 
-/* An address where a control node is said to be; who is there greets us by its own connection.
- */
+/* Adds an address where a control node is reported to be; its id is learned from the hello
+ * message on the connection that it opens itself. */
 static void add_address(struct ct_node *n, const char *name, const char *ip, int port)
 {
     struct qr_member m = {.port = port};
@@ -110,15 +113,16 @@
     hello(p->node, net, p->member.id);
 }
 
-/* Answers of the agreement come on the other side's own connection; here it only tells where
- * control nodes are. */
+/* The peer sends its messages on the connection that it opened itself; on this one it only
+ * sends the addresses of the control nodes. */
 static void peer_message(struct nt_conn *net, void *ud, const char *data, size_t len)
 {
     struct ct_peer *p = ud;
     struct wr_msg m;
     struct er_err err = {0};
     if (!wr_decode(&p->node->dec, data, len, &m, &err)) {
-        FL_WARN(&p->node->log, "from %s: %s; closing", p->member.ip, err.text);
+        FL_WARN(&p->node->log, "bad message from %s: %s; closing the connection", p->member.ip,
+                err.text);
         nt_close(net, true);
     } else if (m.type == WR_CONTROLS) {
         learn_addresses(p->node, &m.nodes);
@@ -147,8 +151,9 @@
     free(p);
 }
 
-/* Members change and addresses are used again: what is no member and did not answer for long is
- * forgotten; seeds are tried again as long as the settings name them. */
+/* Whether to drop a peer that is no member and has not answered for FORGET_ADDRESS_US: members
+ * change and their addresses are reused. Seeds are added again as long as the settings name
+ * them. */
 static bool is_stale(struct ct_node *n, const struct ct_peer *p, int64_t now)
 {
     const struct qr_members *ms = qr_members(n->q);
@@ -169,7 +174,7 @@
         if (!p) {
             p = peer_at(n, ms->m[i].ip, ms->m[i].port);
             if (p && p->member.id)
-                p = NULL; /* of another identity */
+                p = NULL; /* the address belongs to another id */
         }
         if (!p) {
             p = peer_add(n, &ms->m[i]);
@@ -199,16 +204,17 @@
     }
 }
 
-/* ---- connections that others opened ---- */
+/* ---- connections that other processes opened ---- */
 
 static void refuse(struct ct_conn *c, const char *why)
 {
     c->node->counters.wrong_cluster++;
-    FL_WARN(&c->node->log, "a peer is refused: %s", why);
+    FL_WARN(&c->node->log, "connection of a peer refused: %s", why);
     nt_close(c->net, true);
 }
 
-/* A connect to it that began before it was there is not answered: it is made anew. */
+/* A connection attempt that began before the peer was reachable may never be answered, so it is
+ * started again now that the peer has connected. */
 static void reconnect_peer(struct ct_node *n, uint64_t id)
 {
     struct ct_peer *p = peer_of(n, id);
@@ -230,7 +236,7 @@
     if (!sr_copy(c->name, sizeof(c->name), h->name) ||
         !sr_copy(c->domain, sizeof(c->domain), h->domain) ||
         !sr_copy(c->ip, sizeof(c->ip), h->ip)) {
-        refuse(c, "its greeting is wrong");
+        refuse(c, "a text in its hello message is too long");
         return;
     }
     c->greeted = true;
@@ -243,7 +249,7 @@
         struct qr_member m = {.id = c->id, .port = c->port};
         sr_copy(m.name, sizeof(m.name), sr_from(c->name));
         sr_copy(m.ip, sizeof(m.ip), sr_from(c->ip));
-        /* a node without members yet must be able to answer */
+        /* a node that has no members yet must be able to answer */
         peer_add(n, &m)->active_at = ck_now();
     }
     if (c->role == WR_ROLE_CONTROL)
@@ -299,8 +305,8 @@
     struct er_err err = {0};
     if (!wr_decode(&c->node->dec, data, len, &m, &err)) {
         c->node->counters.bad_messages++;
-        FL_WARN(&c->node->log, "from %s: %s; closing", c->name[0] ? c->name : "a peer",
-                err.text);
+        FL_WARN(&c->node->log, "bad message from %s: %s; closing the connection",
+                c->name[0] ? c->name : "a peer", err.text);
         nt_close(net, true);
         return;
     }
--- a/control/platform.c
+++ b/control/platform.c
@@ -1,5 +1,6 @@
-/* The platform's list of VMs: a lagging hint. "leaving" becomes a drain intent of operator
- * `platform`, which is reversible and which anybody can see; nothing else is made of it. */
+/* Polls the platform's list of VMs. The list lags behind and is only a hint: an instance in
+ * state "leaving" is drained by an intent of operator `platform`, which is visible and
+ * reversible. No other state has an effect. */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -24,7 +25,7 @@
     if (now < n->next_drain_warning)
         return;
     n->next_drain_warning = now + WARN_INTERVAL_US;
-    FL_WARN(&n->log, "%s is leaving by the platform's list but can't be drained: %s", inst,
+    FL_WARN(&n->log, "%s is leaving in the platform's list but can't be drained: %s", inst,
             why);
 }
 
@@ -65,7 +66,7 @@
             if (!same || in->draining)
                 continue;
             drain(n, v, in->id);
-            return; /* the view may move: the rest at the next look */
+            return; /* the proposal may change the view; the next poll handles the rest */
         }
     }
 }
--- a/control/registrations.c
+++ b/control/registrations.c
@@ -1,9 +1,11 @@
-/* Instances that register themselves. What they tell is agreed before it is acknowledged. */
+/* Instances that register themselves. A call that changes the view is acknowledged only after
+ * the change is committed. */
 #include "control/control.h"
 #include "misc/clock.h"
 
-/* The newest call that this node took of an instance. Soft: another leader starts
- * without it, and what matters (drained, left) is in the view. */
+/* The newest call of an instance that this node accepted. It is not replicated: another leader
+ * starts without it, and the states that matter (draining, left) are in the view. When the
+ * table is full, it is emptied. */
 static struct ct_last_call *last_call_of(struct ct_node *n, const char *id)
 {
     int i = ix_get(&n->last_call_index, id);
@@ -48,8 +50,8 @@
         return false;
     if (need == RG_REFUSE)
         *err = refused;
-    /* Only of a call that is acknowledged now: one whose change is not committed may come
-     * again. */
+    /* Only for a call that is acknowledged now: one whose change is not committed may be
+     * repeated. */
     if (need == RG_NOTHING)
         s->last = (struct rg_last){b->inst.born, b->seq};
     return propose_change(n, need, &ch, c, done, err);
