--- a/bench/decisions.c
+++ b/bench/decisions.c
@@ -66,8 +66,8 @@
 
 static void lease(int n)
 {
-    static struct ls_giver g;
-    ls_giver_begin(&g, CK_SEC(2), 0, true);
+    static struct ls_grantor g;
+    ls_grantor_begin(&g, CK_SEC(2), 0, true);
     for (int i = 0; i < 460; i++)
         ls_grant(&g, (uint64_t)i + 1, INT64_MAX, 0);
     for (int i = 0; i < n; i++)
--- a/control/control.c
+++ b/control/control.c
@@ -62,7 +62,7 @@
     n->unsent_changes = (struct vp_news){0};
     n->pace = (struct vp_pace){0};
     vp_tick(&n->pace, 0, 0, now);
-    ls_giver_begin(&n->leases, CK_MS(n->s->lease_ms), now, first);
+    ls_grantor_begin(&n->leases, CK_MS(n->s->lease_ms), now, first);
     /* Instances of the platform limit their connections themselves and refuse any above the
      * limit, which costs the node one retry: a new leader need not wait until the shares that
      * its predecessor assigned have expired. */
--- a/control/control.h
+++ b/control/control.h
@@ -219,7 +219,7 @@
     bool leading; /* a quorum confirmed this leader and its term's first entry is applied */
     int64_t leading_since;
     int64_t node_joined_at; /* when an entry node last got its first lease from this leader */
-    struct ls_giver leases;
+    struct ls_grantor leases;
     struct sh_table shares;
     uint64_t shares_seq;    /* number of the last WR_SHARES message sent */
     struct lm_giver limits; /* permits of client accounts */
--- a/lease/lease.c
+++ b/lease/lease.c
@@ -30,7 +30,7 @@
         h->until = until;
 }
 
-void ls_giver_begin(struct ls_giver *g, int64_t lease_us, int64_t now, bool first)
+void ls_grantor_begin(struct ls_grantor *g, int64_t lease_us, int64_t now, bool first)
 {
     memset(g, 0, sizeof(*g));
     g->lease_us = lease_us;
@@ -38,7 +38,7 @@
     g->first = first;
 }
 
-static struct ls_node *find(struct ls_giver *g, uint64_t id)
+static struct ls_node *find(struct ls_grantor *g, uint64_t id)
 {
     for (int i = 0; i < g->n; i++) {
         if (g->nodes[i].id == id)
@@ -48,7 +48,7 @@
 }
 
 /* A free place: a new one, or that of a node whose lease ran out. */
-static struct ls_node *place(struct ls_giver *g, int64_t now)
+static struct ls_node *place(struct ls_grantor *g, int64_t now)
 {
     for (int i = 0; i < g->n; i++) {
         if (g->nodes[i].until + drift(g->lease_us) <= now)
@@ -57,7 +57,7 @@
     return g->n < LS_MAX_NODES ? &g->nodes[g->n++] : NULL;
 }
 
-int64_t ls_grant(struct ls_giver *g, uint64_t id, int64_t vouched_until, int64_t now)
+int64_t ls_grant(struct ls_grantor *g, uint64_t id, int64_t vouched_until, int64_t now)
 {
     if (now >= vouched_until)
         return 0;
@@ -72,31 +72,31 @@
     return g->lease_us;
 }
 
-void ls_acked(struct ls_giver *g, uint64_t id, uint64_t generation)
+void ls_acked(struct ls_grantor *g, uint64_t id, uint64_t generation)
 {
     struct ls_node *n = find(g, id);
     if (n && generation > n->acked)
         n->acked = generation;
 }
 
-void ls_released(struct ls_giver *g, uint64_t id)
+void ls_released(struct ls_grantor *g, uint64_t id)
 {
     struct ls_node *n = find(g, id);
     if (n)
         n->until = 0;
 }
 
-static bool live(const struct ls_giver *g, const struct ls_node *n, int64_t now)
+static bool live(const struct ls_grantor *g, const struct ls_node *n, int64_t now)
 {
     return n->until && now < n->until + drift(g->lease_us);
 }
 
-bool ls_old_leases(const struct ls_giver *g, int64_t now)
+bool ls_old_leases(const struct ls_grantor *g, int64_t now)
 {
     return !g->first && now < g->since + g->lease_us + drift(g->lease_us);
 }
 
-bool ls_known_have(const struct ls_giver *g, uint64_t generation, int64_t now)
+bool ls_known_have(const struct ls_grantor *g, uint64_t generation, int64_t now)
 {
     for (int i = 0; i < g->n; i++) {
         if (live(g, &g->nodes[i], now) && g->nodes[i].acked < generation)
@@ -105,12 +105,12 @@
     return true;
 }
 
-bool ls_all_have(const struct ls_giver *g, uint64_t generation, int64_t now)
+bool ls_all_have(const struct ls_grantor *g, uint64_t generation, int64_t now)
 {
     return !ls_old_leases(g, now) && ls_known_have(g, generation, now);
 }
 
-int ls_count(const struct ls_giver *g, uint64_t generation, int64_t now, int *have)
+int ls_count(const struct ls_grantor *g, uint64_t generation, int64_t now, int *have)
 {
     int n = 0;
     *have = 0;
@@ -123,7 +123,7 @@
     return n;
 }
 
-bool ls_node_live(const struct ls_giver *g, uint64_t id, int64_t now)
+bool ls_node_live(const struct ls_grantor *g, uint64_t id, int64_t now)
 {
     for (int i = 0; i < g->n; i++) {
         if (g->nodes[i].id == id)
--- a/lease/lease.h
+++ b/lease/lease.h
@@ -38,7 +38,7 @@
     uint64_t acked; /* generation it has applied */
 };
 
-struct ls_giver {
+struct ls_grantor {
     int64_t lease_us;
     int64_t since; /* when this leader began; earlier leaders' leases may be out */
     bool first;    /* no leader was before: no older leases */
@@ -47,25 +47,25 @@
 };
 
 /* A leader begins. `first`: the cluster was just made. */
-void ls_giver_begin(struct ls_giver *g, int64_t lease_us, int64_t now, bool first);
+void ls_grantor_begin(struct ls_grantor *g, int64_t lease_us, int64_t now, bool first);
 /* How long a renewal asked for by `id` may be granted now, in microseconds; 0 refuses.
  * `vouched_until` comes from the agreement core: past it this leader may be replaced and does
  * not know. */
-int64_t ls_grant(struct ls_giver *g, uint64_t id, int64_t vouched_until, int64_t now);
+int64_t ls_grant(struct ls_grantor *g, uint64_t id, int64_t vouched_until, int64_t now);
 /* The node has applied `generation`. */
-void ls_acked(struct ls_giver *g, uint64_t id, uint64_t generation);
+void ls_acked(struct ls_grantor *g, uint64_t id, uint64_t generation);
 /* The node gave its lease back (a planned stop). */
-void ls_released(struct ls_giver *g, uint64_t id);
+void ls_released(struct ls_grantor *g, uint64_t id);
 /* Whether every node that may hold a live lease has applied `generation`: no node acts on an
  * older view any more. Leases of earlier leaders count until they must have run out. */
-bool ls_all_have(const struct ls_giver *g, uint64_t generation, int64_t now);
+bool ls_all_have(const struct ls_grantor *g, uint64_t generation, int64_t now);
 /* The same for the nodes that this leader knows, whatever earlier leaders gave: enough where
  * the endpoints' fences carry the safety and waiting only spares callers a refusal. */
-bool ls_known_have(const struct ls_giver *g, uint64_t generation, int64_t now);
+bool ls_known_have(const struct ls_grantor *g, uint64_t generation, int64_t now);
 /* Whether leases of an earlier leader may still be out. */
-bool ls_old_leases(const struct ls_giver *g, int64_t now);
+bool ls_old_leases(const struct ls_grantor *g, int64_t now);
 /* Nodes with a live lease, and how many of them have `generation`. */
-int ls_count(const struct ls_giver *g, uint64_t generation, int64_t now, int *have);
-bool ls_node_live(const struct ls_giver *g, uint64_t id, int64_t now);
+int ls_count(const struct ls_grantor *g, uint64_t generation, int64_t now, int *have);
+bool ls_node_live(const struct ls_grantor *g, uint64_t id, int64_t now);
 
 #endif
--- a/tests/unit/test_lease.c
+++ b/tests/unit/test_lease.c
@@ -31,8 +31,8 @@
     struct rn_rng rng = rn_seed(5);
     for (int i = 0; i < 1000; i++) {
         struct ls_holder h = {0};
-        static struct ls_giver g;
-        ls_giver_begin(&g, LEASE, 0, true);
+        static struct ls_grantor g;
+        ls_grantor_begin(&g, LEASE, 0, true);
         int64_t sent = (int64_t)rn_below(&rng, 1000000);
         int64_t granted = sent + (int64_t)rn_below(&rng, 500000);
         uint64_t seq = ls_sent(&h, sent);
@@ -43,16 +43,16 @@
 
 static void no_grant_without_a_quorum(void)
 {
-    static struct ls_giver g;
-    ls_giver_begin(&g, LEASE, 0, true);
+    static struct ls_grantor g;
+    ls_grantor_begin(&g, LEASE, 0, true);
     CU_ASSERT_EQUAL(ls_grant(&g, 1, CK_MS(100), CK_MS(100)), 0);
     CU_ASSERT_EQUAL(ls_grant(&g, 1, CK_MS(100), CK_MS(99)), LEASE);
 }
 
 static void dropped_by_all_or_run_out(void)
 {
-    static struct ls_giver g;
-    ls_giver_begin(&g, LEASE, 0, true);
+    static struct ls_grantor g;
+    ls_grantor_begin(&g, LEASE, 0, true);
     ls_grant(&g, 1, INT64_MAX, 0);
     ls_grant(&g, 2, INT64_MAX, 0);
     ls_acked(&g, 1, 7);
@@ -68,8 +68,8 @@
 /* A new leader does not know whom the last one gave leases. */
 static void earlier_leaders_leases_count(void)
 {
-    static struct ls_giver g;
-    ls_giver_begin(&g, LEASE, CK_SEC(5), false);
+    static struct ls_grantor g;
+    ls_grantor_begin(&g, LEASE, CK_SEC(5), false);
     CU_ASSERT_FALSE(ls_all_have(&g, 1, CK_SEC(6)));
     CU_ASSERT_TRUE(ls_all_have(&g, 1, CK_MS(7021)));
 }
