--- a/entry/link.c
+++ b/entry/link.c
@@ -79,7 +79,7 @@
         k = px_wants(n->px, shares, cap);
     n->c.renewed += k;
     struct wr_msg m = {.type = WR_RENEW};
-    m.renew = (struct wr_renew){.seq = ls_sent(&n->lease, now),
+    m.renew = (struct wr_renew){.seq = ls_renewal_sent(&n->lease, now),
                                 .generation = n->acked,
                                 .hlc = ck_hlc_now(&n->tl->hlc),
                                 .stopping = stopping,
@@ -162,7 +162,7 @@
         return; /* the view that belongs to it has not come: no lease for an old one */
     ls_granted(&n->lease, g->seq, CK_MS(g->duration_ms));
     if (n->px && g->knows_permits)
-        px_permits_renewed(n->px, ls_sent_at(&n->lease, g->seq));
+        px_permits_renewed(n->px, ls_renewal_sent_at(&n->lease, g->seq));
     else if (n->px)
         px_permits_tell(n->px);
     if (!n->had_lease && en_leased(n)) {
@@ -246,7 +246,7 @@
 {
     n->shares_seq = s->seq;
     if (n->px)
-        px_permits(n->px, ls_sent_at(&n->lease, s->renewal), s->permits, s->n_permits);
+        px_permits(n->px, ls_renewal_sent_at(&n->lease, s->renewal), s->permits, s->n_permits);
     for (uint32_t i = 0; i < s->n; i++) {
         char id[VW_NAME];
         if (!sr_copy(id, sizeof(id), s->shares[i].inst))
--- a/lease/lease.c
+++ b/lease/lease.c
@@ -7,14 +7,14 @@
     return us * LS_DRIFT_PERMILLE / 1000;
 }
 
-uint64_t ls_sent(struct ls_holder *h, int64_t now)
+uint64_t ls_renewal_sent(struct ls_holder *h, int64_t now)
 {
     h->seq++;
     h->sent[h->seq % LS_OUTSTANDING] = now;
     return h->seq;
 }
 
-int64_t ls_sent_at(const struct ls_holder *h, uint64_t seq)
+int64_t ls_renewal_sent_at(const struct ls_holder *h, uint64_t seq)
 {
     bool known = seq > 0 && seq <= h->seq && seq + LS_OUTSTANDING > h->seq;
     return known ? h->sent[seq % LS_OUTSTANDING] : 0;
@@ -22,7 +22,7 @@
 
 void ls_granted(struct ls_holder *h, uint64_t seq, int64_t duration_us)
 {
-    int64_t sent = ls_sent_at(h, seq);
+    int64_t sent = ls_renewal_sent_at(h, seq);
     if (!sent)
         return;
     int64_t until = sent + duration_us - drift(duration_us);
--- a/lease/lease.h
+++ b/lease/lease.h
@@ -19,9 +19,9 @@
 };
 
 /* A renewal leaves now; returns its number. */
-uint64_t ls_sent(struct ls_holder *h, int64_t now);
+uint64_t ls_renewal_sent(struct ls_holder *h, int64_t now);
 /* When renewal `seq` was sent; 0: it is not known any more. */
-int64_t ls_sent_at(const struct ls_holder *h, uint64_t seq);
+int64_t ls_renewal_sent_at(const struct ls_holder *h, uint64_t seq);
 /* The grant for renewal `seq` came. An answer too old to know when it was asked for is
  * ignored. */
 void ls_granted(struct ls_holder *h, uint64_t seq, int64_t duration_us);
--- a/tests/unit/test_lease.c
+++ b/tests/unit/test_lease.c
@@ -13,12 +13,12 @@
 static void holder_counts_from_the_sending(void)
 {
     struct ls_holder h = {0};
-    uint64_t a = ls_sent(&h, CK_MS(100));
+    uint64_t a = ls_renewal_sent(&h, CK_MS(100));
     ls_granted(&h, a, LEASE);
     CU_ASSERT_TRUE(ls_live(&h, CK_MS(2000)));
     CU_ASSERT_FALSE(ls_live(&h, CK_MS(2090))); /* drift allowance */
     for (int i = 0; i < LS_OUTSTANDING; i++)
-        ls_sent(&h, CK_SEC(10));
+        ls_renewal_sent(&h, CK_SEC(10));
     ls_granted(&h, a, LEASE * 100); /* too old to know when it was asked for */
     CU_ASSERT_FALSE(ls_live(&h, CK_SEC(10)));
     ls_granted(&h, h.seq + 1, LEASE); /* never asked for */
@@ -35,7 +35,7 @@
         ls_grantor_begin(&g, LEASE, 0, true);
         int64_t sent = (int64_t)rn_below(&rng, 1000000);
         int64_t granted = sent + (int64_t)rn_below(&rng, 500000);
-        uint64_t seq = ls_sent(&h, sent);
+        uint64_t seq = ls_renewal_sent(&h, sent);
         ls_granted(&h, seq, ls_grant(&g, 1, INT64_MAX, granted));
         CU_ASSERT_TRUE(ls_node_live(&g, 1, h.until));
     }
--- a/tests/unit/test_push.c
+++ b/tests/unit/test_push.c
@@ -186,7 +186,7 @@
         int64_t sent_at = 0, ahead = i, now = CK_SEC(1);
         bool live = true;
         p = (struct vp_pace){0};
-        ls_granted(&h, ls_sent(&h, now - (i % 4) * RENEW_US / 4), LEASE_US);
+        ls_granted(&h, ls_renewal_sent(&h, now - (i % 4) * RENEW_US / 4), LEASE_US);
         for (int64_t tick = 0; live && tick < LEASE_US * 2; tick += TICK_US) {
             int64_t t = now + tick;
             vp_tick(&p, 0, BOUND_US, t);
@@ -197,7 +197,7 @@
             bool has = sent_at && t >= sent_at + LATER_US;
             bool older = !sent_at && kept && pv_keeps_lease(&turn, LEASE_US, t);
             if (tick % RENEW_US == 0 && (has || older))
-                ls_granted(&h, ls_sent(&h, t), LEASE_US);
+                ls_granted(&h, ls_renewal_sent(&h, t), LEASE_US);
             live = ls_live(&h, t);
         }
         lost += !live;
