--- a/control/control.c
+++ b/control/control.c
@@ -23,7 +23,7 @@
 
 bool ct_in_force(const struct ct_node *n, uint64_t generation)
 {
-    return ls_all_have(&n->leases, generation, ck_now());
+    return ls_all_applied(&n->leases, generation, ck_now());
 }
 
 const char *ct_member_name(const struct ct_node *n, uint64_t id)
--- a/control/promotions.c
+++ b/control/promotions.c
@@ -75,8 +75,8 @@
     const struct vw_group *v = vw_group(&n->view, g->name);
     struct pr_actions acts;
     bool fenced_handover = n->s->fence && v->phase == VW_HANDING;
-    bool applied = fenced_handover ? ls_known_have(&n->leases, g->phase_generation, ck_now())
-                                   : ls_all_have(&n->leases, g->phase_generation, ck_now());
+    bool applied = fenced_handover ? ls_known_applied(&n->leases, g->phase_generation, ck_now())
+                                   : ls_all_applied(&n->leases, g->phase_generation, ck_now());
     pr_tick(&g->pr, v, applied, ck_now(), &acts);
     act_on(n, g, &acts);
 }
--- a/control/takeovers.c
+++ b/control/takeovers.c
@@ -132,7 +132,8 @@
 {
     const struct vw_group *v = vw_group(&n->view, g->name);
     struct tk_actions acts;
-    tk_tick(&g->tk, v, ls_all_have(&n->leases, g->phase_generation, ck_now()), ck_now(), &acts);
+    tk_tick(&g->tk, v, ls_all_applied(&n->leases, g->phase_generation, ck_now()), ck_now(),
+            &acts);
     for (int i = 0; i < acts.n; i++)
         do_action(n, g, &acts.a[i]);
 }
--- a/lease/lease.c
+++ b/lease/lease.c
@@ -96,7 +96,7 @@
     return !g->first && now < g->since + g->lease_us + drift(g->lease_us);
 }
 
-bool ls_known_have(const struct ls_grantor *g, uint64_t generation, int64_t now)
+bool ls_known_applied(const struct ls_grantor *g, uint64_t generation, int64_t now)
 {
     for (int i = 0; i < g->n; i++) {
         if (live(g, &g->nodes[i], now) && g->nodes[i].acked < generation)
@@ -105,9 +105,9 @@
     return true;
 }
 
-bool ls_all_have(const struct ls_grantor *g, uint64_t generation, int64_t now)
+bool ls_all_applied(const struct ls_grantor *g, uint64_t generation, int64_t now)
 {
-    return !ls_old_leases(g, now) && ls_known_have(g, generation, now);
+    return !ls_old_leases(g, now) && ls_known_applied(g, generation, now);
 }
 
 int ls_count(const struct ls_grantor *g, uint64_t generation, int64_t now, int *have)
--- a/lease/lease.h
+++ b/lease/lease.h
@@ -58,10 +58,10 @@
 void ls_released(struct ls_grantor *g, uint64_t id);
 /* Whether every node that may hold a live lease has applied `generation`: no node acts on an
  * older view any more. Leases of earlier leaders count until they must have run out. */
-bool ls_all_have(const struct ls_grantor *g, uint64_t generation, int64_t now);
+bool ls_all_applied(const struct ls_grantor *g, uint64_t generation, int64_t now);
 /* The same for the nodes that this leader knows, whatever earlier leaders gave: enough where
  * the endpoints' fences carry the safety and waiting only spares callers a refusal. */
-bool ls_known_have(const struct ls_grantor *g, uint64_t generation, int64_t now);
+bool ls_known_applied(const struct ls_grantor *g, uint64_t generation, int64_t now);
 /* Whether leases of an earlier leader may still be out. */
 bool ls_old_leases(const struct ls_grantor *g, int64_t now);
 /* Nodes with a live lease, and how many of them have `generation`. */
--- a/tests/unit/test_lease.c
+++ b/tests/unit/test_lease.c
@@ -56,13 +56,13 @@
     ls_grant(&g, 1, INT64_MAX, 0);
     ls_grant(&g, 2, INT64_MAX, 0);
     ls_acked(&g, 1, 7);
-    CU_ASSERT_FALSE(ls_all_have(&g, 7, CK_MS(10)));
+    CU_ASSERT_FALSE(ls_all_applied(&g, 7, CK_MS(10)));
     ls_acked(&g, 2, 6);
-    CU_ASSERT_FALSE(ls_all_have(&g, 7, CK_MS(10)));
-    CU_ASSERT_TRUE(ls_all_have(&g, 7, CK_MS(2021))); /* node 2's ran out, with drift */
-    CU_ASSERT_FALSE(ls_all_have(&g, 7, CK_MS(2019)));
+    CU_ASSERT_FALSE(ls_all_applied(&g, 7, CK_MS(10)));
+    CU_ASSERT_TRUE(ls_all_applied(&g, 7, CK_MS(2021))); /* node 2's ran out, with drift */
+    CU_ASSERT_FALSE(ls_all_applied(&g, 7, CK_MS(2019)));
     ls_acked(&g, 2, 7);
-    CU_ASSERT_TRUE(ls_all_have(&g, 7, CK_MS(10)));
+    CU_ASSERT_TRUE(ls_all_applied(&g, 7, CK_MS(10)));
 }
 
 /* A new leader does not know whom the last one gave leases. */
@@ -70,8 +70,8 @@
 {
     static struct ls_grantor g;
     ls_grantor_begin(&g, LEASE, CK_SEC(5), false);
-    CU_ASSERT_FALSE(ls_all_have(&g, 1, CK_SEC(6)));
-    CU_ASSERT_TRUE(ls_all_have(&g, 1, CK_MS(7021)));
+    CU_ASSERT_FALSE(ls_all_applied(&g, 1, CK_SEC(6)));
+    CU_ASSERT_TRUE(ls_all_applied(&g, 1, CK_MS(7021)));
 }
 
 void lease_suite(void)
