--- a/control/ops.c
+++ b/control/ops.c
@@ -59,7 +59,7 @@
 static json_t *status_json(struct ct_node *n)
 {
     char id[24];
-    int have = 0, live = ls_count(&n->leases, n->view.generation, ck_now(), &have);
+    int have = 0, live = ls_count_live(&n->leases, n->view.generation, ck_now(), &have);
     snprintf(id, sizeof(id), "%llx", (unsigned long long)n->id);
     json_t *view = vw_view_json(&n->view);
     json_t *o = json_pack(
--- a/lease/lease.c
+++ b/lease/lease.c
@@ -91,7 +91,7 @@
     return n->until && now < n->until + drift(g->lease_us);
 }
 
-bool ls_old_leases(const struct ls_grantor *g, int64_t now)
+bool ls_earlier_leases(const struct ls_grantor *g, int64_t now)
 {
     return !g->first && now < g->since + g->lease_us + drift(g->lease_us);
 }
@@ -107,10 +107,10 @@
 
 bool ls_all_applied(const struct ls_grantor *g, uint64_t generation, int64_t now)
 {
-    return !ls_old_leases(g, now) && ls_known_applied(g, generation, now);
+    return !ls_earlier_leases(g, now) && ls_known_applied(g, generation, now);
 }
 
-int ls_count(const struct ls_grantor *g, uint64_t generation, int64_t now, int *have)
+int ls_count_live(const struct ls_grantor *g, uint64_t generation, int64_t now, int *have)
 {
     int n = 0;
     *have = 0;
--- a/lease/lease.h
+++ b/lease/lease.h
@@ -63,9 +63,9 @@
  * the endpoints' fences carry the safety and waiting only spares callers a refusal. */
 bool ls_known_applied(const struct ls_grantor *g, uint64_t generation, int64_t now);
 /* Whether leases of an earlier leader may still be out. */
-bool ls_old_leases(const struct ls_grantor *g, int64_t now);
+bool ls_earlier_leases(const struct ls_grantor *g, int64_t now);
 /* Nodes with a live lease, and how many of them have `generation`. */
-int ls_count(const struct ls_grantor *g, uint64_t generation, int64_t now, int *have);
+int ls_count_live(const struct ls_grantor *g, uint64_t generation, int64_t now, int *have);
 bool ls_node_live(const struct ls_grantor *g, uint64_t id, int64_t now);
 
 #endif
