--- a/lease/lease.c
+++ b/lease/lease.c
@@ -10,14 +10,14 @@
 uint64_t ls_renewal_sent(struct ls_holder *h, int64_t now)
 {
     h->seq++;
-    h->sent[h->seq % LS_OUTSTANDING] = now;
+    h->sent[h->seq % LS_MAX_OUTSTANDING] = now;
     return h->seq;
 }
 
 int64_t ls_renewal_sent_at(const struct ls_holder *h, uint64_t seq)
 {
-    bool known = seq > 0 && seq <= h->seq && seq + LS_OUTSTANDING > h->seq;
-    return known ? h->sent[seq % LS_OUTSTANDING] : 0;
+    bool known = seq > 0 && seq <= h->seq && seq + LS_MAX_OUTSTANDING > h->seq;
+    return known ? h->sent[seq % LS_MAX_OUTSTANDING] : 0;
 }
 
 void ls_granted(struct ls_holder *h, uint64_t seq, int64_t duration_us)
@@ -34,8 +34,8 @@
 {
     memset(g, 0, sizeof(*g));
     g->lease_us = lease_us;
-    g->since = now;
-    g->first = first;
+    g->began_at = now;
+    g->first_leader = first;
 }
 
 static struct ls_node *find(struct ls_grantor *g, uint64_t id)
@@ -93,7 +93,7 @@
 
 bool ls_earlier_leases(const struct ls_grantor *g, int64_t now)
 {
-    return !g->first && now < g->since + g->lease_us + drift(g->lease_us);
+    return !g->first_leader && now < g->began_at + g->lease_us + drift(g->lease_us);
 }
 
 bool ls_known_applied(const struct ls_grantor *g, uint64_t generation, int64_t now)
--- a/lease/lease.h
+++ b/lease/lease.h
@@ -8,14 +8,14 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-enum { LS_OUTSTANDING = 16, LS_MAX_NODES = 1024, LS_DRIFT_PERMILLE = 10 };
+enum { LS_MAX_OUTSTANDING = 16, LS_MAX_NODES = 1024, LS_DRIFT_PERMILLE = 10 };
 
 /* ---- holder ---- */
 
 struct ls_holder {
     int64_t until;
     uint64_t seq; /* of the last renewal sent */
-    int64_t sent[LS_OUTSTANDING];
+    int64_t sent[LS_MAX_OUTSTANDING];
 };
 
 /* A renewal leaves now; returns its number. */
@@ -40,8 +40,8 @@
 
 struct ls_grantor {
     int64_t lease_us;
-    int64_t since; /* when this leader began; earlier leaders' leases may be out */
-    bool first;    /* no leader was before: no older leases */
+    int64_t began_at;  /* when this leader began; earlier leaders' leases may be out */
+    bool first_leader; /* no leader was before: no older leases */
     int n;
     struct ls_node nodes[LS_MAX_NODES];
 };
--- a/tests/unit/test_lease.c
+++ b/tests/unit/test_lease.c
@@ -17,7 +17,7 @@
     ls_granted(&h, a, LEASE);
     CU_ASSERT_TRUE(ls_live(&h, CK_MS(2000)));
     CU_ASSERT_FALSE(ls_live(&h, CK_MS(2090))); /* drift allowance */
-    for (int i = 0; i < LS_OUTSTANDING; i++)
+    for (int i = 0; i < LS_MAX_OUTSTANDING; i++)
         ls_renewal_sent(&h, CK_SEC(10));
     ls_granted(&h, a, LEASE * 100); /* too old to know when it was asked for */
     CU_ASSERT_FALSE(ls_live(&h, CK_SEC(10)));
