--- a/control/documents.c
+++ b/control/documents.c
@@ -38,9 +38,9 @@
     }
     if (ch.version <= n->view.doc.version)
         return true; /* a document with the same or a higher version is in force */
-    if (count_voters(n) < mb_needed(n->s->tolerates))
+    if (count_voters(n) < mb_required_voters(n->s->tolerates))
         return er_set(err, ER_NO_QUORUM, "%d voters, expected at least %d to commit",
-                      count_voters(n), mb_needed(n->s->tolerates));
+                      count_voters(n), mb_required_voters(n->s->tolerates));
     if (!ct_propose_unconfirmed(n, &ch, &index, err))
         return false;
     ct_await_commit(n, c, index, done);
--- a/member/member.c
+++ b/member/member.c
@@ -25,7 +25,7 @@
         there += n->member ? alive(s, n) : n->connected;
     }
     int odd = there % 2 ? there : there - 1;
-    int least = mb_needed(s->tolerates);
+    int least = mb_required_voters(s->tolerates);
     return odd > least ? odd : least;
 }
 
@@ -61,7 +61,7 @@
                 n->voter ? "another identity votes at its address" : "a learner that is gone";
             return n;
         }
-        if (live >= mb_needed(s->tolerates)) {
+        if (live >= mb_required_voters(s->tolerates)) {
             *why = "not heard of, and enough voters are there without it";
             return n;
         }
--- a/member/member.h
+++ b/member/member.h
@@ -48,7 +48,7 @@
 
 struct mb_action mb_next(const struct mb_state *s);
 /* Voters that are needed before anything may be promised. */
-static inline int mb_needed(int tolerates)
+static inline int mb_required_voters(int tolerates)
 {
     return 2 * tolerates + 1;
 }
