--- a/control/members.c
+++ b/control/members.c
@@ -22,7 +22,7 @@
                                            .voter = x->voter,
                                            .connected = self,
                                            .caught_up = match > 0 && match >= qr_commit(n->q),
-                                           .heard_us = self ? 0 : now - qr_heard(n->q, x->id)};
+                                           .silent_us = self ? 0 : now - qr_heard(n->q, x->id)};
     }
 }
 
@@ -46,7 +46,7 @@
 
 static void add_non_members(struct ct_node *n, struct mb_state *s)
 {
-    for (struct ct_conn *c = n->conns; c && s->n < MB_MAX; c = c->next) {
+    for (struct ct_conn *c = n->conns; c && s->n < MB_MAX_NODES; c = c->next) {
         if (!c->greeted || c->role != WR_ROLE_CONTROL || has_node(s, c->id))
             continue;
         s->node[s->n++] = (struct mb_node){.id = c->id, .ip = c->ip, .connected = true};
--- a/member/member.c
+++ b/member/member.c
@@ -4,7 +4,7 @@
 
 static bool alive(const struct mb_state *s, const struct mb_node *n)
 {
-    return n->id == s->self || n->heard_us < MB_GONE_US;
+    return n->id == s->self || n->silent_us < MB_SILENT_LIMIT_US;
 }
 
 static int live_voters(const struct mb_state *s)
--- a/member/member.h
+++ b/member/member.h
@@ -14,11 +14,11 @@
 #include "quorum/quorum.h"
 
 enum {
-    MB_MAX = 2 * QR_MAX_MEMBERS,
+    MB_MAX_NODES = 2 * QR_MAX_MEMBERS,
     /* A member that was not heard of for this long is taken for gone. Above the longest pause
      * of one that is only slow (a stalled loop, a lost connection made anew), below the time
      * within which a successor must count (seconds). */
-    MB_GONE_US = 2500000,
+    MB_SILENT_LIMIT_US = 2500000,
 };
 
 /* A control node as the leader knows it. */
@@ -26,16 +26,16 @@
     uint64_t id;
     const char *ip;
     bool member, voter;
-    bool connected;   /* it is greeted and its connection is open */
-    bool caught_up;   /* holds all that is committed */
-    int64_t heard_us; /* how long ago it was heard; 0 for the leader itself */
+    bool connected;    /* it is greeted and its connection is open */
+    bool caught_up;    /* holds all that is committed */
+    int64_t silent_us; /* how long ago it was heard; 0 for the leader itself */
 };
 
 struct mb_state {
     uint64_t self;
     int tolerates; /* losses that are to be borne */
     int n;
-    struct mb_node node[MB_MAX];
+    struct mb_node node[MB_MAX_NODES];
 };
 
 enum mb_step { MB_NONE, MB_ADD, MB_VOTER, MB_REMOVE };
--- a/tests/unit/test_member.c
+++ b/tests/unit/test_member.c
@@ -40,7 +40,7 @@
 {
     struct mb_state s = three();
     expect(&s, MB_NONE, 0);
-    s.node[2].heard_us = MB_GONE_US;
+    s.node[2].silent_us = MB_SILENT_LIMIT_US;
     s.node[2].connected = false;
     expect(&s, MB_NONE, 0); /* a voter that is away for a while stays one */
     s.node[s.n++] = node(33, "10.0.0.3", false);
@@ -57,10 +57,10 @@
 static void successor_at_another_address(void)
 {
     struct mb_state s = three();
-    s.node[1].heard_us = MB_GONE_US;
+    s.node[1].silent_us = MB_SILENT_LIMIT_US;
     s.node[s.n++] = node(4, "10.0.0.9", true);
     expect(&s, MB_REMOVE, 2);
-    s.node[3].heard_us = MB_GONE_US; /* with two there nobody is removed */
+    s.node[3].silent_us = MB_SILENT_LIMIT_US; /* with two there nobody is removed */
     expect(&s, MB_NONE, 0);
 }
 
@@ -73,7 +73,7 @@
     expect(&s, MB_ADD, 4);
     s.node[3] = node(4, "10.0.0.4", true);
     s.node[4] = node(5, "10.0.0.5", true);
-    s.node[2].heard_us = MB_GONE_US;
+    s.node[2].silent_us = MB_SILENT_LIMIT_US;
     expect(&s, MB_NONE, 0); /* five are needed */
     s.node[s.n++] = node(6, "10.0.0.6", true);
     expect(&s, MB_REMOVE, 3);
@@ -90,7 +90,7 @@
         s.node[s.n++] = node(i + 1, ips[i], i < 7);
     s.node[7].member = true;
     expect(&s, MB_NONE, 0);
-    s.node[2].heard_us = MB_GONE_US;
+    s.node[2].silent_us = MB_SILENT_LIMIT_US;
     s.node[2].connected = false;
     expect(&s, MB_VOTER, 8);
     s.node[7].voter = true;
