--- a/control/control.h
+++ b/control/control.h
@@ -367,7 +367,7 @@
 
 /* registrations.c: instances that register themselves. True: the call is acknowledged at once.
  * False with err->kind ER_NONE: `done` is called later. Other errors: the call is refused. */
-bool ct_register(struct ct_node *n, const struct rg_beat *b, struct nt_conn *c,
+bool ct_register(struct ct_node *n, const struct rg_heartbeat *b, struct nt_conn *c,
                  void (*done)(struct ct_node *n, struct nt_conn *c, const struct er_err *err),
                  struct er_err *err);
 bool ct_deregister(struct ct_node *n, const char *id, struct nt_conn *c,
--- a/control/registrations.c
+++ b/control/registrations.c
@@ -38,14 +38,14 @@
     return false;
 }
 
-bool ct_register(struct ct_node *n, const struct rg_beat *b, struct nt_conn *c,
+bool ct_register(struct ct_node *n, const struct rg_heartbeat *b, struct nt_conn *c,
                  void (*done)(struct ct_node *, struct nt_conn *, const struct er_err *),
                  struct er_err *err)
 {
     struct vw_change ch;
     struct er_err refused = {0};
     struct ct_last_call *s = last_call_of(n, b->inst.id);
-    enum rg_need need = rg_beat(&n->view, b, &s->last, &ch, &refused);
+    enum rg_need need = rg_on_heartbeat(&n->view, b, &s->last, &ch, &refused);
     if (!rg_may_end(need) && !ct_may_answer(n, err))
         return false;
     if (need == RG_REFUSE)
--- a/registry/registry.c
+++ b/registry/registry.c
@@ -17,7 +17,7 @@
 
 /* A drained instance is not undrained by a call: what is planned to end, ends. One that has
  * started again is another. */
-static enum rg_need known(const struct vw_group *g, int i, const struct rg_beat *b,
+static enum rg_need known(const struct vw_group *g, int i, const struct rg_heartbeat *b,
                           struct vw_change *ch)
 {
     const struct vw_instance *has = &g->inst[i];
@@ -38,7 +38,7 @@
 
 /* An instance whose start is later has the address: a call of the one that had it before came
  * late. */
-static bool succeeded(const struct vw_group *g, const struct rg_beat *b)
+static bool succeeded(const struct vw_group *g, const struct rg_heartbeat *b)
 {
     for (int i = 0; b->inst.born && i < g->n; i++) {
         const struct vw_instance *has = &g->inst[i];
@@ -50,15 +50,16 @@
 }
 
 /* A call of an earlier life, or an earlier call of this one. */
-static bool is_old(const struct rg_beat *b, const struct rg_last *last)
+static bool is_old(const struct rg_heartbeat *b, const struct rg_last *last)
 {
     if (b->inst.born != last->born)
         return b->inst.born < last->born;
     return last->seq && b->seq <= last->seq;
 }
 
-enum rg_need rg_beat(const struct vw_view *v, const struct rg_beat *b,
-                     const struct rg_last *last, struct vw_change *ch, struct er_err *err)
+enum rg_need rg_on_heartbeat(const struct vw_view *v, const struct rg_heartbeat *b,
+                             const struct rg_last *last, struct vw_change *ch,
+                             struct er_err *err)
 {
     const struct vw_group *g = vw_group(v, b->group);
     if (is_old(b, last))
--- a/registry/registry.h
+++ b/registry/registry.h
@@ -9,7 +9,7 @@
 #include "view/view.h"
 
 /* What an instance tells of itself. */
-struct rg_beat {
+struct rg_heartbeat {
     char group[VW_NAME];
     struct vw_instance inst; /* draining: it will end by plan */
     bool primary;            /* it takes itself for the primary */
@@ -31,8 +31,9 @@
 };
 
 /* `last`: of this instance, as far as this node knows. */
-enum rg_need rg_beat(const struct vw_view *v, const struct rg_beat *b,
-                     const struct rg_last *last, struct vw_change *ch, struct er_err *err);
+enum rg_need rg_on_heartbeat(const struct vw_view *v, const struct rg_heartbeat *b,
+                             const struct rg_last *last, struct vw_change *ch,
+                             struct er_err *err);
 /* Whether a call that needs this is acknowledged by a node that does not lead: all it tells is
  * in that node's view, so it is committed. */
 bool rg_may_end(enum rg_need need);
--- a/tests/unit/test_member.c
+++ b/tests/unit/test_member.c
@@ -103,9 +103,9 @@
 
 /* ---- instances ---- */
 
-static struct rg_beat beat(const char *id, int port, bool primary, uint64_t seq)
+static struct rg_heartbeat beat(const char *id, int port, bool primary, uint64_t seq)
 {
-    struct rg_beat b = {.group = "reg", .primary = primary, .seq = seq};
+    struct rg_heartbeat b = {.group = "reg", .primary = primary, .seq = seq};
     strcpy(b.inst.id, id);
     strcpy(b.inst.ip, "10.0.0.1");
     b.inst.port = port;
@@ -115,12 +115,12 @@
 }
 
 /* `last`: number of the newest call of its life that the node has taken. */
-static enum rg_need tell(struct vw_view *v, const struct rg_beat *b, uint64_t last)
+static enum rg_need tell(struct vw_view *v, const struct rg_heartbeat *b, uint64_t last)
 {
     struct vw_change ch;
     struct er_err err = {0};
     struct rg_last taken = {last ? b->inst.born : 0, last};
-    enum rg_need need = rg_beat(v, b, &taken, &ch, &err);
+    enum rg_need need = rg_on_heartbeat(v, b, &taken, &ch, &err);
     if (need == RG_CHANGE)
         CU_ASSERT_TRUE(vw_apply(v, v->generation + 1, &ch, &err));
     return need;
@@ -134,7 +134,7 @@
     struct vw_view leader, follower;
     vw_init(&leader);
     vw_init(&follower);
-    struct rg_beat a = beat("a", 1, true, 1), b = beat("b", 2, false, 1);
+    struct rg_heartbeat a = beat("a", 1, true, 1), b = beat("b", 2, false, 1);
     CU_ASSERT_FALSE(rg_may_end(tell(&leader, &a, 0)));
     CU_ASSERT_FALSE(rg_may_end(tell(&leader, &b, 0)));
     tell(&follower, &a, 0); /* b has not come there yet */
@@ -145,7 +145,7 @@
     a.inst.draining = true;
     a.seq = 3;
     CU_ASSERT_FALSE(rg_may_end(tell(&leader, &a, 2)));
-    struct rg_beat again = beat("b", 2, false, 1);
+    struct rg_heartbeat again = beat("b", 2, false, 1);
     again.inst.born = 9;
     CU_ASSERT_FALSE(rg_may_end(tell(&leader, &again, 0)));
     struct vw_change ch;
@@ -158,7 +158,7 @@
     struct vw_change ch;
     struct er_err err = {0};
     vw_init(&w);
-    struct rg_beat a = beat("a", 1, true, 5), b = beat("b", 2, false, 1);
+    struct rg_heartbeat a = beat("a", 1, true, 5), b = beat("b", 2, false, 1);
     CU_ASSERT_EQUAL(tell(&w, &a, 0), RG_CHANGE);
     CU_ASSERT_EQUAL(tell(&w, &a, 4), RG_NOTHING);
     CU_ASSERT_EQUAL(tell(&w, &a, 5), RG_LATE); /* the same call again, or an older one */
@@ -185,27 +185,27 @@
     struct er_err err = {0};
     vw_init(&w);
     vw_init(&back);
-    struct rg_beat a = beat("a", 1, true, 50), again = beat("a", 1, false, 1);
+    struct rg_heartbeat a = beat("a", 1, true, 50), again = beat("a", 1, false, 1);
     struct rg_last taken = {1000, 50};
     a.inst.born = 1000;
     a.inst.draining = true;
     again.inst.born = 2000;
     CU_ASSERT_EQUAL(tell(&w, &a, 0), RG_CHANGE);
-    CU_ASSERT_EQUAL(rg_beat(&w, &again, &taken, &ch, &err), RG_CHANGE);
+    CU_ASSERT_EQUAL(rg_on_heartbeat(&w, &again, &taken, &ch, &err), RG_CHANGE);
     CU_ASSERT_TRUE(vw_apply(&w, w.generation + 1, &ch, &err));
     CU_ASSERT_FALSE(w.groups[0].inst[0].draining);
     CU_ASSERT_EQUAL(w.groups[0].inst[0].born, 2000);
     CU_ASSERT_EQUAL(w.groups[0].n, 1);
     a.seq = 51; /* delayed by a cut; a leader that knows its last call, and one that does not */
-    CU_ASSERT_EQUAL(rg_beat(&w, &a, &(struct rg_last){2000, 1}, &ch, &err), RG_LATE);
-    CU_ASSERT_EQUAL(rg_beat(&w, &a, &(struct rg_last){0}, &ch, &err), RG_LATE);
+    CU_ASSERT_EQUAL(rg_on_heartbeat(&w, &a, &(struct rg_last){2000, 1}, &ch, &err), RG_LATE);
+    CU_ASSERT_EQUAL(rg_on_heartbeat(&w, &a, &(struct rg_last){0}, &ch, &err), RG_LATE);
     CU_ASSERT_EQUAL(tell(&w, &again, 0), RG_NOTHING);
     /* Another takes its address: what the one before said late brings it back no more. */
-    struct rg_beat next = beat("b", 1, false, 1);
+    struct rg_heartbeat next = beat("b", 1, false, 1);
     next.inst.born = 3000;
     CU_ASSERT_EQUAL(tell(&w, &next, 0), RG_CHANGE);
     CU_ASSERT_EQUAL(tell(&w, &again, 0), RG_LATE);
-    struct rg_beat unheard = beat("c", 1, false, 9);
+    struct rg_heartbeat unheard = beat("c", 1, false, 9);
     unheard.inst.born = 2500;
     CU_ASSERT_EQUAL(tell(&w, &unheard, 0), RG_LATE);
     /* After a restart of the node, too; but a later life of the first may come. */
