--- a/control/registrations.c
+++ b/control/registrations.c
@@ -64,5 +64,5 @@
     struct vw_change ch;
     if (!ct_may_answer(n, err))
         return false;
-    return propose_change(n, rg_leave(&n->view, id, &ch), &ch, c, done, err);
+    return propose_change(n, rg_on_leave(&n->view, id, &ch), &ch, c, done, err);
 }
--- a/registry/registry.c
+++ b/registry/registry.c
@@ -80,7 +80,7 @@
     return need == RG_NOTHING;
 }
 
-enum rg_need rg_leave(const struct vw_view *v, const char *id, struct vw_change *ch)
+enum rg_need rg_on_leave(const struct vw_view *v, const char *id, struct vw_change *ch)
 {
     const struct vw_group *g = vw_owner(v, id);
     if (!g)
--- a/registry/registry.h
+++ b/registry/registry.h
@@ -38,6 +38,6 @@
  * in that node's view, so it is committed. */
 bool rg_may_end(enum rg_need need);
 /* The instance of that id ends. */
-enum rg_need rg_leave(const struct vw_view *v, const char *id, struct vw_change *ch);
+enum rg_need rg_on_leave(const struct vw_view *v, const char *id, struct vw_change *ch);
 
 #endif
--- a/tests/unit/test_member.c
+++ b/tests/unit/test_member.c
@@ -149,7 +149,7 @@
     again.inst.born = 9;
     CU_ASSERT_FALSE(rg_may_end(tell(&leader, &again, 0)));
     struct vw_change ch;
-    CU_ASSERT_FALSE(rg_may_end(rg_leave(&leader, "b", &ch)));
+    CU_ASSERT_FALSE(rg_may_end(rg_on_leave(&leader, "b", &ch)));
 }
 
 static void instances_calls(void)
@@ -169,9 +169,9 @@
     b.inst.draining = false; /* another leader does not know its numbers */
     CU_ASSERT_EQUAL(tell(&w, &b, 0), RG_NOTHING);
     CU_ASSERT_TRUE(w.groups[0].inst[1].draining);
-    CU_ASSERT_EQUAL(rg_leave(&w, "b", &ch), RG_CHANGE);
+    CU_ASSERT_EQUAL(rg_on_leave(&w, "b", &ch), RG_CHANGE);
     CU_ASSERT_TRUE(vw_apply(&w, 90, &ch, &err));
-    CU_ASSERT_EQUAL(rg_leave(&w, "b", &ch), RG_LATE);
+    CU_ASSERT_EQUAL(rg_on_leave(&w, "b", &ch), RG_LATE);
     CU_ASSERT_EQUAL(tell(&w, &b, 0), RG_LATE);
     vw_free(&w);
 }
