--- a/control/registrations.c
+++ b/control/registrations.c
@@ -24,11 +24,11 @@
 }
 
 static bool propose_change(
-    struct ct_node *n, enum rg_need need, const struct vw_change *ch, struct nt_conn *c,
+    struct ct_node *n, enum rg_result need, const struct vw_change *ch, struct nt_conn *c,
     void (*done)(struct ct_node *, struct nt_conn *, const struct er_err *), struct er_err *err)
 {
     uint64_t index;
-    if (need == RG_NOTHING || need == RG_LATE)
+    if (need == RG_UNCHANGED || need == RG_STALE)
         return true;
     if (need == RG_REFUSE || !ct_propose(n, ch, &index, err))
         return false;
@@ -45,14 +45,14 @@
     struct vw_change ch;
     struct er_err refused = {0};
     struct ct_last_call *s = last_call_of(n, b->inst.id);
-    enum rg_need need = rg_on_heartbeat(&n->view, b, &s->last, &ch, &refused);
+    enum rg_result need = rg_on_heartbeat(&n->view, b, &s->last, &ch, &refused);
     if (!rg_may_end(need) && !ct_may_answer(n, err))
         return false;
     if (need == RG_REFUSE)
         *err = refused;
     /* Only for a call that is acknowledged now: one whose change is not committed may be
      * repeated. */
-    if (need == RG_NOTHING)
+    if (need == RG_UNCHANGED)
         s->last = (struct rg_last){b->inst.born, b->seq};
     return propose_change(n, need, &ch, c, done, err);
 }
--- a/registry/registry.c
+++ b/registry/registry.c
@@ -17,8 +17,8 @@
 
 /* A drained instance is not undrained by a call: what is planned to end, ends. One that has
  * started again is another. */
-static enum rg_need known(const struct vw_group *g, int i, const struct rg_heartbeat *b,
-                          struct vw_change *ch)
+static enum rg_result known(const struct vw_group *g, int i, const struct rg_heartbeat *b,
+                            struct vw_change *ch)
 {
     const struct vw_instance *has = &g->inst[i];
     if (b->inst.draining && !has->draining && b->inst.born <= has->born) {
@@ -28,7 +28,7 @@
     }
     bool first_primary = b->primary && g->term == 0, again = b->inst.born > has->born;
     if (!moved(has, &b->inst) && !first_primary && !again)
-        return RG_NOTHING;
+        return RG_UNCHANGED;
     name_change(ch, VW_CH_JOIN, g->name, has->id);
     ch->inst = b->inst;
     ch->inst.draining = b->inst.draining || (has->draining && !again);
@@ -57,34 +57,34 @@
     return last->seq && b->seq <= last->seq;
 }
 
-enum rg_need rg_on_heartbeat(const struct vw_view *v, const struct rg_heartbeat *b,
-                             const struct rg_last *last, struct vw_change *ch,
-                             struct er_err *err)
+enum rg_result rg_on_heartbeat(const struct vw_view *v, const struct rg_heartbeat *b,
+                               const struct rg_last *last, struct vw_change *ch,
+                               struct er_err *err)
 {
     const struct vw_group *g = vw_group(v, b->group);
     if (is_old(b, last))
-        return RG_LATE;
+        return RG_STALE;
     int i = g ? vw_instance(g, b->inst.id) : -1;
     if (i >= 0)
-        return b->inst.born < g->inst[i].born ? RG_LATE : known(g, i, b, ch);
+        return b->inst.born < g->inst[i].born ? RG_STALE : known(g, i, b, ch);
     if (vw_is_late(v, b->inst.id, b->inst.born) || (g && succeeded(g, b)))
-        return RG_LATE;
+        return RG_STALE;
     name_change(ch, VW_CH_JOIN, b->group, b->inst.id);
     ch->inst = b->inst;
     ch->flag = b->primary;
     return vw_check(v, ch, err) ? RG_CHANGE : RG_REFUSE;
 }
 
-bool rg_may_end(enum rg_need need)
+bool rg_may_end(enum rg_result need)
 {
-    return need == RG_NOTHING;
+    return need == RG_UNCHANGED;
 }
 
-enum rg_need rg_on_leave(const struct vw_view *v, const char *id, struct vw_change *ch)
+enum rg_result rg_on_leave(const struct vw_view *v, const char *id, struct vw_change *ch)
 {
     const struct vw_group *g = vw_owner(v, id);
     if (!g)
-        return RG_LATE;
+        return RG_STALE;
     name_change(ch, VW_CH_LEAVE, g->name, id);
     return RG_CHANGE;
 }
--- a/registry/registry.h
+++ b/registry/registry.h
@@ -22,22 +22,22 @@
     uint64_t seq;
 };
 
-enum rg_need {
-    RG_NOTHING, /* acknowledge at once */
-    RG_CHANGE,  /* acknowledge when *ch is committed */
-    RG_LATE,   /* an earlier call that came late, or one that left: acknowledge, believe nothing
+enum rg_result {
+    RG_UNCHANGED, /* acknowledge at once */
+    RG_CHANGE,    /* acknowledge when *ch is committed */
+    RG_STALE,  /* an earlier call that came late, or one that left: acknowledge, believe nothing
                 */
     RG_REFUSE, /* *err says why */
 };
 
 /* `last`: of this instance, as far as this node knows. */
-enum rg_need rg_on_heartbeat(const struct vw_view *v, const struct rg_heartbeat *b,
-                             const struct rg_last *last, struct vw_change *ch,
-                             struct er_err *err);
+enum rg_result rg_on_heartbeat(const struct vw_view *v, const struct rg_heartbeat *b,
+                               const struct rg_last *last, struct vw_change *ch,
+                               struct er_err *err);
 /* Whether a call that needs this is acknowledged by a node that does not lead: all it tells is
  * in that node's view, so it is committed. */
-bool rg_may_end(enum rg_need need);
+bool rg_may_end(enum rg_result need);
 /* The instance of that id ends. */
-enum rg_need rg_on_leave(const struct vw_view *v, const char *id, struct vw_change *ch);
+enum rg_result rg_on_leave(const struct vw_view *v, const char *id, struct vw_change *ch);
 
 #endif
--- a/tests/unit/test_member.c
+++ b/tests/unit/test_member.c
@@ -115,12 +115,12 @@
 }
 
 /* `last`: number of the newest call of its life that the node has taken. */
-static enum rg_need tell(struct vw_view *v, const struct rg_heartbeat *b, uint64_t last)
+static enum rg_result tell(struct vw_view *v, const struct rg_heartbeat *b, uint64_t last)
 {
     struct vw_change ch;
     struct er_err err = {0};
     struct rg_last taken = {last ? b->inst.born : 0, last};
-    enum rg_need need = rg_on_heartbeat(v, b, &taken, &ch, &err);
+    enum rg_result need = rg_on_heartbeat(v, b, &taken, &ch, &err);
     if (need == RG_CHANGE)
         CU_ASSERT_TRUE(vw_apply(v, v->generation + 1, &ch, &err));
     return need;
@@ -160,19 +160,19 @@
     vw_init(&w);
     struct rg_heartbeat a = beat("a", 1, true, 5), b = beat("b", 2, false, 1);
     CU_ASSERT_EQUAL(tell(&w, &a, 0), RG_CHANGE);
-    CU_ASSERT_EQUAL(tell(&w, &a, 4), RG_NOTHING);
-    CU_ASSERT_EQUAL(tell(&w, &a, 5), RG_LATE); /* the same call again, or an older one */
+    CU_ASSERT_EQUAL(tell(&w, &a, 4), RG_UNCHANGED);
+    CU_ASSERT_EQUAL(tell(&w, &a, 5), RG_STALE); /* the same call again, or an older one */
     CU_ASSERT_EQUAL(tell(&w, &b, 0), RG_CHANGE);
     b.inst.draining = true;
     CU_ASSERT_EQUAL(tell(&w, &b, 1 - 1), RG_CHANGE);
     CU_ASSERT_TRUE(w.groups[0].inst[1].draining);
     b.inst.draining = false; /* another leader does not know its numbers */
-    CU_ASSERT_EQUAL(tell(&w, &b, 0), RG_NOTHING);
+    CU_ASSERT_EQUAL(tell(&w, &b, 0), RG_UNCHANGED);
     CU_ASSERT_TRUE(w.groups[0].inst[1].draining);
     CU_ASSERT_EQUAL(rg_on_leave(&w, "b", &ch), RG_CHANGE);
     CU_ASSERT_TRUE(vw_apply(&w, 90, &ch, &err));
-    CU_ASSERT_EQUAL(rg_on_leave(&w, "b", &ch), RG_LATE);
-    CU_ASSERT_EQUAL(tell(&w, &b, 0), RG_LATE);
+    CU_ASSERT_EQUAL(rg_on_leave(&w, "b", &ch), RG_STALE);
+    CU_ASSERT_EQUAL(tell(&w, &b, 0), RG_STALE);
     vw_free(&w);
 }
 
@@ -197,22 +197,22 @@
     CU_ASSERT_EQUAL(w.groups[0].inst[0].born, 2000);
     CU_ASSERT_EQUAL(w.groups[0].n, 1);
     a.seq = 51; /* delayed by a cut; a leader that knows its last call, and one that does not */
-    CU_ASSERT_EQUAL(rg_on_heartbeat(&w, &a, &(struct rg_last){2000, 1}, &ch, &err), RG_LATE);
-    CU_ASSERT_EQUAL(rg_on_heartbeat(&w, &a, &(struct rg_last){0}, &ch, &err), RG_LATE);
-    CU_ASSERT_EQUAL(tell(&w, &again, 0), RG_NOTHING);
+    CU_ASSERT_EQUAL(rg_on_heartbeat(&w, &a, &(struct rg_last){2000, 1}, &ch, &err), RG_STALE);
+    CU_ASSERT_EQUAL(rg_on_heartbeat(&w, &a, &(struct rg_last){0}, &ch, &err), RG_STALE);
+    CU_ASSERT_EQUAL(tell(&w, &again, 0), RG_UNCHANGED);
     /* Another takes its address: what the one before said late brings it back no more. */
     struct rg_heartbeat next = beat("b", 1, false, 1);
     next.inst.born = 3000;
     CU_ASSERT_EQUAL(tell(&w, &next, 0), RG_CHANGE);
-    CU_ASSERT_EQUAL(tell(&w, &again, 0), RG_LATE);
+    CU_ASSERT_EQUAL(tell(&w, &again, 0), RG_STALE);
     struct rg_heartbeat unheard = beat("c", 1, false, 9);
     unheard.inst.born = 2500;
-    CU_ASSERT_EQUAL(tell(&w, &unheard, 0), RG_LATE);
+    CU_ASSERT_EQUAL(tell(&w, &unheard, 0), RG_STALE);
     /* After a restart of the node, too; but a later life of the first may come. */
     json_t *j = vw_view_json(&w);
     CU_ASSERT_TRUE(vw_view_parse(j, &back, &err));
     json_decref(j);
-    CU_ASSERT_EQUAL(tell(&back, &again, 0), RG_LATE);
+    CU_ASSERT_EQUAL(tell(&back, &again, 0), RG_STALE);
     again.inst.born = 4000;
     again.inst.port = 2;
     CU_ASSERT_EQUAL(tell(&back, &again, 0), RG_CHANGE);
