--- a/control/registrations.c
+++ b/control/registrations.c
@@ -46,7 +46,7 @@
     struct er_err refused = {0};
     struct ct_last_call *s = last_call_of(n, b->inst.id);
     enum rg_result need = rg_on_heartbeat(&n->view, b, &s->last, &ch, &refused);
-    if (!rg_may_end(need) && !ct_may_answer(n, err))
+    if (!rg_needs_no_leader(need) && !ct_may_answer(n, err))
         return false;
     if (need == RG_REFUSE)
         *err = refused;
--- a/registry/registry.c
+++ b/registry/registry.c
@@ -75,7 +75,7 @@
     return vw_check(v, ch, err) ? RG_CHANGE : RG_REFUSE;
 }
 
-bool rg_may_end(enum rg_result need)
+bool rg_needs_no_leader(enum rg_result need)
 {
     return need == RG_UNCHANGED;
 }
--- a/tests/unit/test_member.c
+++ b/tests/unit/test_member.c
@@ -135,21 +135,21 @@
     vw_init(&leader);
     vw_init(&follower);
     struct rg_heartbeat a = beat("a", 1, true, 1), b = beat("b", 2, false, 1);
-    CU_ASSERT_FALSE(rg_may_end(tell(&leader, &a, 0)));
-    CU_ASSERT_FALSE(rg_may_end(tell(&leader, &b, 0)));
+    CU_ASSERT_FALSE(rg_needs_no_leader(tell(&leader, &a, 0)));
+    CU_ASSERT_FALSE(rg_needs_no_leader(tell(&leader, &b, 0)));
     tell(&follower, &a, 0); /* b has not come there yet */
-    CU_ASSERT_FALSE(rg_may_end(tell(&follower, &b, 0)));
+    CU_ASSERT_FALSE(rg_needs_no_leader(tell(&follower, &b, 0)));
     a.seq = b.seq = 2;
-    CU_ASSERT_TRUE(rg_may_end(tell(&leader, &a, 1)));
-    CU_ASSERT_TRUE(rg_may_end(tell(&follower, &a, 1)));
+    CU_ASSERT_TRUE(rg_needs_no_leader(tell(&leader, &a, 1)));
+    CU_ASSERT_TRUE(rg_needs_no_leader(tell(&follower, &a, 1)));
     a.inst.draining = true;
     a.seq = 3;
-    CU_ASSERT_FALSE(rg_may_end(tell(&leader, &a, 2)));
+    CU_ASSERT_FALSE(rg_needs_no_leader(tell(&leader, &a, 2)));
     struct rg_heartbeat again = beat("b", 2, false, 1);
     again.inst.born = 9;
-    CU_ASSERT_FALSE(rg_may_end(tell(&leader, &again, 0)));
+    CU_ASSERT_FALSE(rg_needs_no_leader(tell(&leader, &again, 0)));
     struct vw_change ch;
-    CU_ASSERT_FALSE(rg_may_end(rg_on_leave(&leader, "b", &ch)));
+    CU_ASSERT_FALSE(rg_needs_no_leader(rg_on_leave(&leader, "b", &ch)));
 }
 
 static void instances_calls(void)
