--- a/control/control.h
+++ b/control/control.h
@@ -85,7 +85,7 @@
 /* The newest registration call of an instance. */
 struct ct_last_call {
     char id[VW_NAME];
-    struct rg_last last;
+    struct rg_last_call last;
 };
 
 /* A committed change, kept for nodes that have not received it yet. */
--- a/control/registrations.c
+++ b/control/registrations.c
@@ -53,7 +53,7 @@
     /* Only for a call that is acknowledged now: one whose change is not committed may be
      * repeated. */
     if (need == RG_UNCHANGED)
-        s->last = (struct rg_last){b->inst.born, b->seq};
+        s->last = (struct rg_last_call){b->inst.born, b->seq};
     return propose_change(n, need, &ch, c, done, err);
 }
 
--- a/registry/registry.c
+++ b/registry/registry.c
@@ -50,7 +50,7 @@
 }
 
 /* A call of an earlier life, or an earlier call of this one. */
-static bool is_old(const struct rg_heartbeat *b, const struct rg_last *last)
+static bool is_old(const struct rg_heartbeat *b, const struct rg_last_call *last)
 {
     if (b->inst.born != last->born)
         return b->inst.born < last->born;
@@ -58,7 +58,7 @@
 }
 
 enum rg_result rg_on_heartbeat(const struct vw_view *v, const struct rg_heartbeat *b,
-                               const struct rg_last *last, struct vw_change *ch,
+                               const struct rg_last_call *last, struct vw_change *ch,
                                struct er_err *err)
 {
     const struct vw_group *g = vw_group(v, b->group);
--- a/registry/registry.h
+++ b/registry/registry.h
@@ -17,7 +17,7 @@
 };
 
 /* The newest call of an instance that a node has taken. Zero-initialised: none. */
-struct rg_last {
+struct rg_last_call {
     int64_t born;
     uint64_t seq;
 };
@@ -32,7 +32,7 @@
 
 /* `last`: of this instance, as far as this node knows. */
 enum rg_result rg_on_heartbeat(const struct vw_view *v, const struct rg_heartbeat *b,
-                               const struct rg_last *last, struct vw_change *ch,
+                               const struct rg_last_call *last, struct vw_change *ch,
                                struct er_err *err);
 /* Whether a call that needs this is acknowledged by a node that does not lead: all it tells is
  * in that node's view, so it is committed. */
--- a/tests/unit/test_member.c
+++ b/tests/unit/test_member.c
@@ -119,7 +119,7 @@
 {
     struct vw_change ch;
     struct er_err err = {0};
-    struct rg_last taken = {last ? b->inst.born : 0, last};
+    struct rg_last_call taken = {last ? b->inst.born : 0, last};
     enum rg_result need = rg_on_heartbeat(v, b, &taken, &ch, &err);
     if (need == RG_CHANGE)
         CU_ASSERT_TRUE(vw_apply(v, v->generation + 1, &ch, &err));
@@ -186,7 +186,7 @@
     vw_init(&w);
     vw_init(&back);
     struct rg_heartbeat a = beat("a", 1, true, 50), again = beat("a", 1, false, 1);
-    struct rg_last taken = {1000, 50};
+    struct rg_last_call taken = {1000, 50};
     a.inst.born = 1000;
     a.inst.draining = true;
     again.inst.born = 2000;
@@ -197,8 +197,9 @@
     CU_ASSERT_EQUAL(w.groups[0].inst[0].born, 2000);
     CU_ASSERT_EQUAL(w.groups[0].n, 1);
     a.seq = 51; /* delayed by a cut; a leader that knows its last call, and one that does not */
-    CU_ASSERT_EQUAL(rg_on_heartbeat(&w, &a, &(struct rg_last){2000, 1}, &ch, &err), RG_STALE);
-    CU_ASSERT_EQUAL(rg_on_heartbeat(&w, &a, &(struct rg_last){0}, &ch, &err), RG_STALE);
+    CU_ASSERT_EQUAL(rg_on_heartbeat(&w, &a, &(struct rg_last_call){2000, 1}, &ch, &err),
+                    RG_STALE);
+    CU_ASSERT_EQUAL(rg_on_heartbeat(&w, &a, &(struct rg_last_call){0}, &ch, &err), RG_STALE);
     CU_ASSERT_EQUAL(tell(&w, &again, 0), RG_UNCHANGED);
     /* Another takes its address: what the one before said late brings it back no more. */
     struct rg_heartbeat next = beat("b", 1, false, 1);
