--- a/control/registrations.c
+++ b/control/registrations.c
@@ -24,13 +24,13 @@
 }
 
 static bool propose_change(
-    struct ct_node *n, enum rg_result need, const struct vw_change *ch, struct nt_conn *c,
+    struct ct_node *n, enum rg_result result, const struct vw_change *ch, struct nt_conn *c,
     void (*done)(struct ct_node *, struct nt_conn *, const struct er_err *), struct er_err *err)
 {
     uint64_t index;
-    if (need == RG_UNCHANGED || need == RG_STALE)
+    if (result == RG_UNCHANGED || result == RG_STALE)
         return true;
-    if (need == RG_REFUSE || !ct_propose(n, ch, &index, err))
+    if (result == RG_REFUSE || !ct_propose(n, ch, &index, err))
         return false;
     FL_EVENT(&n->log, LG_INFO, "instance_changed", "instance=%s group=%s change=%s",
              ch->instance, ch->group, vw_change_name(ch->kind));
@@ -45,16 +45,16 @@
     struct vw_change ch;
     struct er_err refused = {0};
     struct ct_last_call *s = last_call_of(n, b->inst.id);
-    enum rg_result need = rg_on_heartbeat(&n->view, b, &s->last, &ch, &refused);
-    if (!rg_needs_no_leader(need) && !ct_may_answer(n, err))
+    enum rg_result result = rg_on_heartbeat(&n->view, b, &s->last, &ch, &refused);
+    if (!rg_needs_no_leader(result) && !ct_may_answer(n, err))
         return false;
-    if (need == RG_REFUSE)
+    if (result == RG_REFUSE)
         *err = refused;
     /* Only for a call that is acknowledged now: one whose change is not committed may be
      * repeated. */
-    if (need == RG_UNCHANGED)
+    if (result == RG_UNCHANGED)
         s->last = (struct rg_last_call){b->inst.born, b->seq};
-    return propose_change(n, need, &ch, c, done, err);
+    return propose_change(n, result, &ch, c, done, err);
 }
 
 bool ct_deregister(struct ct_node *n, const char *id, struct nt_conn *c,
--- a/lease/lease.c
+++ b/lease/lease.c
@@ -48,7 +48,7 @@
 }
 
 /* A free place: a new one, or that of a node whose lease ran out. */
-static struct ls_node *place(struct ls_grantor *g, int64_t now)
+static struct ls_node *free_slot(struct ls_grantor *g, int64_t now)
 {
     for (int i = 0; i < g->n; i++) {
         if (g->nodes[i].until + drift(g->lease_us) <= now)
@@ -63,7 +63,7 @@
         return 0;
     struct ls_node *n = find(g, id);
     if (!n) {
-        n = place(g, now);
+        n = free_slot(g, now);
         if (!n)
             return 0;
         *n = (struct ls_node){.id = id};
--- a/member/member.c
+++ b/member/member.c
@@ -19,17 +19,17 @@
  * majority, and no fewer than what must be borne asks for. */
 static int wanted_voters(const struct mb_state *s)
 {
-    int there = 0;
+    int reachable = 0;
     for (int i = 0; i < s->n; i++) {
         const struct mb_node *n = &s->node[i];
-        there += n->member ? alive(s, n) : n->connected;
+        reachable += n->member ? alive(s, n) : n->connected;
     }
-    int odd = there % 2 ? there : there - 1;
-    int least = mb_required_voters(s->tolerates);
-    return odd > least ? odd : least;
+    int odd = reachable % 2 ? reachable : reachable - 1;
+    int required = mb_required_voters(s->tolerates);
+    return odd > required ? odd : required;
 }
 
-static int members(const struct mb_state *s)
+static int count_members(const struct mb_state *s)
 {
     int k = 0;
     for (int i = 0; i < s->n; i++)
@@ -38,7 +38,7 @@
 }
 
 /* Whether another voter that is there has the address: this identity's disk is lost. */
-static bool succeeded(const struct mb_state *s, const struct mb_node *n)
+static bool address_taken(const struct mb_state *s, const struct mb_node *n)
 {
     for (int i = 0; i < s->n; i++) {
         const struct mb_node *o = &s->node[i];
@@ -56,7 +56,7 @@
         const struct mb_node *n = &s->node[i];
         if (!n->member || alive(s, n))
             continue;
-        if (!n->voter || succeeded(s, n)) {
+        if (!n->voter || address_taken(s, n)) {
             *why =
                 n->voter ? "another identity votes at its address" : "a learner that is gone";
             return n;
@@ -69,9 +69,9 @@
     return NULL;
 }
 
-static struct mb_action step(enum mb_step what, const struct mb_node *n, const char *why)
+static struct mb_action make_action(enum mb_step step, const struct mb_node *n, const char *why)
 {
-    return (struct mb_action){what, n->id, why};
+    return (struct mb_action){step, n->id, why};
 }
 
 struct mb_action mb_next(const struct mb_state *s)
@@ -81,15 +81,15 @@
     for (int i = 0; more && i < s->n; i++) {
         const struct mb_node *n = &s->node[i];
         if (n->member && !n->voter && n->caught_up && alive(s, n))
-            return step(MB_VOTER, n, "it holds all that is committed");
+            return make_action(MB_VOTER, n, "it holds all that is committed");
     }
-    const struct mb_node *gone = to_remove(s, &why);
-    if (gone)
-        return step(MB_REMOVE, gone, why);
+    const struct mb_node *removable = to_remove(s, &why);
+    if (removable)
+        return make_action(MB_REMOVE, removable, why);
     for (int i = 0; i < s->n; i++) {
         const struct mb_node *n = &s->node[i];
-        if (!n->member && n->connected && members(s) < QR_MAX_MEMBERS)
-            return step(MB_ADD, n, "a control node with a disk of its own");
+        if (!n->member && n->connected && count_members(s) < QR_MAX_MEMBERS)
+            return make_action(MB_ADD, n, "a control node with a disk of its own");
     }
     return (struct mb_action){MB_NONE, 0, ""};
 }
--- a/registry/registry.c
+++ b/registry/registry.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-static void name_change(struct vw_change *ch, enum vw_change_kind kind, const char *group,
+static void init_change(struct vw_change *ch, enum vw_change_kind kind, const char *group,
                         const char *id)
 {
     *ch = (struct vw_change){.kind = kind};
@@ -17,33 +17,33 @@
 
 /* A drained instance is not undrained by a call: what is planned to end, ends. One that has
  * started again is another. */
-static enum rg_result known(const struct vw_group *g, int i, const struct rg_heartbeat *b,
-                            struct vw_change *ch)
+static enum rg_result on_known_instance(const struct vw_group *g, int i,
+                                        const struct rg_heartbeat *b, struct vw_change *ch)
 {
-    const struct vw_instance *has = &g->inst[i];
-    if (b->inst.draining && !has->draining && b->inst.born <= has->born) {
-        name_change(ch, VW_CH_DRAIN, g->name, has->id);
+    const struct vw_instance *stored = &g->inst[i];
+    if (b->inst.draining && !stored->draining && b->inst.born <= stored->born) {
+        init_change(ch, VW_CH_DRAIN, g->name, stored->id);
         ch->flag = true;
         return RG_CHANGE;
     }
-    bool first_primary = b->primary && g->term == 0, again = b->inst.born > has->born;
-    if (!moved(has, &b->inst) && !first_primary && !again)
+    bool first_primary = b->primary && g->term == 0, restarted = b->inst.born > stored->born;
+    if (!moved(stored, &b->inst) && !first_primary && !restarted)
         return RG_UNCHANGED;
-    name_change(ch, VW_CH_JOIN, g->name, has->id);
+    init_change(ch, VW_CH_JOIN, g->name, stored->id);
     ch->inst = b->inst;
-    ch->inst.draining = b->inst.draining || (has->draining && !again);
+    ch->inst.draining = b->inst.draining || (stored->draining && !restarted);
     ch->flag = b->primary;
     return RG_CHANGE;
 }
 
 /* An instance whose start is later has the address: a call of the one that had it before came
  * late. */
-static bool succeeded(const struct vw_group *g, const struct rg_heartbeat *b)
+static bool address_taken(const struct vw_group *g, const struct rg_heartbeat *b)
 {
     for (int i = 0; b->inst.born && i < g->n; i++) {
-        const struct vw_instance *has = &g->inst[i];
-        bool same = strcmp(has->ip, b->inst.ip) == 0 && has->port == b->inst.port;
-        if (same && strcmp(has->id, b->inst.id) != 0 && has->born > b->inst.born)
+        const struct vw_instance *stored = &g->inst[i];
+        bool same = strcmp(stored->ip, b->inst.ip) == 0 && stored->port == b->inst.port;
+        if (same && strcmp(stored->id, b->inst.id) != 0 && stored->born > b->inst.born)
             return true;
     }
     return false;
@@ -66,18 +66,18 @@
         return RG_STALE;
     int i = g ? vw_instance(g, b->inst.id) : -1;
     if (i >= 0)
-        return b->inst.born < g->inst[i].born ? RG_STALE : known(g, i, b, ch);
-    if (vw_is_late(v, b->inst.id, b->inst.born) || (g && succeeded(g, b)))
+        return b->inst.born < g->inst[i].born ? RG_STALE : on_known_instance(g, i, b, ch);
+    if (vw_is_late(v, b->inst.id, b->inst.born) || (g && address_taken(g, b)))
         return RG_STALE;
-    name_change(ch, VW_CH_JOIN, b->group, b->inst.id);
+    init_change(ch, VW_CH_JOIN, b->group, b->inst.id);
     ch->inst = b->inst;
     ch->flag = b->primary;
     return vw_check(v, ch, err) ? RG_CHANGE : RG_REFUSE;
 }
 
-bool rg_needs_no_leader(enum rg_result need)
+bool rg_needs_no_leader(enum rg_result result)
 {
-    return need == RG_UNCHANGED;
+    return result == RG_UNCHANGED;
 }
 
 enum rg_result rg_on_leave(const struct vw_view *v, const char *id, struct vw_change *ch)
@@ -85,6 +85,6 @@
     const struct vw_group *g = vw_owner(v, id);
     if (!g)
         return RG_STALE;
-    name_change(ch, VW_CH_LEAVE, g->name, id);
+    init_change(ch, VW_CH_LEAVE, g->name, id);
     return RG_CHANGE;
 }
--- a/registry/registry.h
+++ b/registry/registry.h
@@ -36,7 +36,7 @@
                                struct er_err *err);
 /* Whether a call that needs this is acknowledged by a node that does not lead: all it tells is
  * in that node's view, so it is committed. */
-bool rg_needs_no_leader(enum rg_result need);
+bool rg_needs_no_leader(enum rg_result result);
 /* The instance of that id ends. */
 enum rg_result rg_on_leave(const struct vw_view *v, const char *id, struct vw_change *ch);
 
