--- a/lease/lease.c
+++ b/lease/lease.c
@@ -47,7 +47,7 @@
     return NULL;
 }
 
-/* A free place: a new one, or that of a node whose lease ran out. */
+/* A free slot: that of a node whose lease expired, or a new one. NULL if the table is full. */
 static struct ls_node *free_slot(struct ls_grantor *g, int64_t now)
 {
     for (int i = 0; i < g->n; i++) {
--- a/member/member.c
+++ b/member/member.c
@@ -15,8 +15,8 @@
     return k;
 }
 
-/* How many should vote: an odd number of those that are there, so that of two halves one has a
- * majority, and no fewer than what must be borne asks for. */
+/* How many nodes should vote: an odd number of the reachable ones, so that one of two
+ * partitions has a majority, and at least as many as the tolerated losses require. */
 static int wanted_voters(const struct mb_state *s)
 {
     int reachable = 0;
@@ -37,7 +37,8 @@
     return k;
 }
 
-/* Whether another voter that is there has the address: this identity's disk is lost. */
+/* Whether another reachable voter has the node's address: the disk with this node's id is lost.
+ */
 static bool address_taken(const struct mb_state *s, const struct mb_node *n)
 {
     for (int i = 0; i < s->n; i++) {
@@ -48,7 +49,8 @@
     return false;
 }
 
-/* A voter that may go: its place was taken, or enough others are there without it. */
+/* An unreachable member that may be removed: a learner, a voter whose address another voter
+ * has, or a voter without which enough reachable voters are left. *why is the reason. */
 static const struct mb_node *to_remove(const struct mb_state *s, const char **why)
 {
     int live = live_voters(s);
@@ -57,12 +59,11 @@
         if (!n->member || alive(s, n))
             continue;
         if (!n->voter || address_taken(s, n)) {
-            *why =
-                n->voter ? "another identity votes at its address" : "a learner that is gone";
+            *why = n->voter ? "another voter has its address" : "unreachable learner";
             return n;
         }
         if (live >= mb_required_voters(s->tolerates)) {
-            *why = "not heard of, and enough voters are there without it";
+            *why = "unreachable, and enough other voters are reachable";
             return n;
         }
     }
@@ -81,7 +82,7 @@
     for (int i = 0; more && i < s->n; i++) {
         const struct mb_node *n = &s->node[i];
         if (n->member && !n->voter && n->caught_up && alive(s, n))
-            return make_action(MB_VOTER, n, "it holds all that is committed");
+            return make_action(MB_VOTER, n, "it has all committed entries");
     }
     const struct mb_node *removable = to_remove(s, &why);
     if (removable)
@@ -89,7 +90,7 @@
     for (int i = 0; i < s->n; i++) {
         const struct mb_node *n = &s->node[i];
         if (!n->member && n->connected && count_members(s) < QR_MAX_MEMBERS)
-            return make_action(MB_ADD, n, "a control node with a disk of its own");
+            return make_action(MB_ADD, n, "new control node with a disk of its own");
     }
     return (struct mb_action){MB_NONE, 0, ""};
 }
--- a/registry/registry.c
+++ b/registry/registry.c
@@ -15,8 +15,8 @@
     return strcmp(a->ip, b->ip) != 0 || a->port != b->port || strcmp(a->domain, b->domain) != 0;
 }
 
-/* A drained instance is not undrained by a call: what is planned to end, ends. One that has
- * started again is another. */
+/* Handles a heartbeat of an instance that the view has. A heartbeat does not end draining, as a
+ * planned stop stays planned; only an instance that has restarted is not draining any more. */
 static enum rg_result on_known_instance(const struct vw_group *g, int i,
                                         const struct rg_heartbeat *b, struct vw_change *ch)
 {
@@ -36,8 +36,8 @@
     return RG_CHANGE;
 }
 
-/* An instance whose start is later has the address: a call of the one that had it before came
- * late. */
+/* Whether an instance that started later has the address: then this is a late call of the
+ * instance that had the address before. */
 static bool address_taken(const struct vw_group *g, const struct rg_heartbeat *b)
 {
     for (int i = 0; b->inst.born && i < g->n; i++) {
@@ -49,7 +49,7 @@
     return false;
 }
 
-/* A call of an earlier life, or an earlier call of this one. */
+/* Whether the call is of an earlier process of the instance, or an earlier call of this one. */
 static bool is_old(const struct rg_heartbeat *b, const struct rg_last_call *last)
 {
     if (b->inst.born != last->born)
