--- a/control/consensus.c
+++ b/control/consensus.c
@@ -255,9 +255,9 @@
     json_t *j = vw_change_json(ch);
     char *s = json_dumps(j, JSON_COMPACT);
     size_t len = strlen(s);
-    struct vw_change back;
+    struct vw_change parsed;
     /* A change that can't be parsed would be committed and then applied by no node. */
-    bool readable = vw_change_parse(j, &back, err);
+    bool readable = vw_change_parse(j, &parsed, err);
     json_decref(j);
     bool fits = len <= (ch->kind == VW_CH_DOCUMENT ? QR_MAX_ENTRY : VW_CHANGE_MAX);
     if (!fits)
--- a/control/control.c
+++ b/control/control.c
@@ -98,8 +98,8 @@
 
 static void finish_stop(struct ct_node *n, bool failed)
 {
-    nt_timer_cancel(&n->tick);
-    nt_timer_cancel(&n->soon);
+    nt_timer_cancel(&n->tick_timer);
+    nt_timer_cancel(&n->group_tick_timer);
     n->stopped(n->stopped_ud, failed);
 }
 
@@ -177,7 +177,7 @@
     }
     if (n->stopping || n->disk_full)
         qr_hand_over(n->q, now);
-    nt_timer_set(n->loop, &n->tick, TICK_US, tick, n);
+    nt_timer_set(n->loop, &n->tick_timer, TICK_US, tick, n);
 }
 
 void ct_stop(struct ct_node *n)
@@ -297,7 +297,7 @@
     ct_load_document(n);
     ct_groups_sync(n);
     tl_add(tl, TL_START, "", qr_term(n->q), "control node %llx", (unsigned long long)n->id);
-    nt_timer_set(l, &n->tick, TICK_US, tick, n);
+    nt_timer_set(l, &n->tick_timer, TICK_US, tick, n);
     return n;
 }
 
--- a/control/control.h
+++ b/control/control.h
@@ -203,7 +203,7 @@
     struct nl_book nodes; /* the listed entry nodes, as of nodes_built_at */
     int64_t nodes_built_at;
     struct wr_decoder dec;
-    struct nt_timer tick, soon;
+    struct nt_timer tick_timer, group_tick_timer;
     int n_groups, n_insts;
     struct ct_group **groups;
     /* index in `groups` by group name, by instance id */
@@ -248,7 +248,7 @@
     struct {
         uint64_t grants, refused_grants, views, view_bytes, snapshots, node_lists,
             node_list_bytes, proposals, applied;
-        uint64_t refused_changes, promotions, bad_messages, wrong_cluster, platform_failures;
+        uint64_t refused_changes, promotions, bad_messages, refused_peers, platform_failures;
     } counters;
 };
 
--- a/control/failover.c
+++ b/control/failover.c
@@ -35,5 +35,5 @@
 
 void ct_schedule_group_ticks(struct ct_node *n)
 {
-    nt_timer_set(n->loop, &n->soon, 1, tick_groups, n);
+    nt_timer_set(n->loop, &n->group_tick_timer, 1, tick_groups, n);
 }
--- a/control/nodes.c
+++ b/control/nodes.c
@@ -73,10 +73,10 @@
 
 /* Sends the changes that the node does not have, once per connection. If they are deferred,
  * they are sent in a later tick or with one of its next renewals. */
-static void send_view(struct ct_conn *c, uint64_t has)
+static void send_view(struct ct_conn *c, uint64_t reported)
 {
     struct ct_node *n = c->node;
-    uint64_t from = c->sent_generation > has ? c->sent_generation : has;
+    uint64_t from = c->sent_generation > reported ? c->sent_generation : reported;
     if (from >= n->view.generation || batch_pending(c) ||
         !pv_try_send(&c->pending_view, &n->pace, ck_now()))
         return;
@@ -99,11 +99,11 @@
  * receive the view or could not apply it: it is sent again from the reported generation.
  * Otherwise the node would hold a lease that it can't use, and every change of primary would
  * wait for that lease. */
-static void note_generation(struct ct_conn *c, uint64_t has, int64_t now)
+static void note_generation(struct ct_conn *c, uint64_t reported, int64_t now)
 {
     bool late = now - c->view_sent_at > CK_MS(c->node->s->lease_ms) / 2;
-    if (has == 0 || has > c->sent_generation || late)
-        c->sent_generation = has;
+    if (reported == 0 || reported > c->sent_generation || late)
+        c->sent_generation = reported;
 }
 
 void ct_push_view(struct ct_node *n)
@@ -253,18 +253,18 @@
 
 /* The encoded changes for a node that has the list with hash `has`. The message sent last is
  * used again if it is the same, as most nodes have the same list. */
-static const struct ct_cached_frame *nodes_frame(struct ct_node *n, uint64_t has)
+static const struct ct_cached_frame *nodes_frame(struct ct_node *n, uint64_t reported)
 {
     uint64_t to = nl_newest(&n->nodes)->hash;
     struct nl_change ch;
-    struct ct_cached_frame *f = has > NL_EMPTY ? &n->nodes_changes : &n->nodes_whole;
-    if (f->bytes.len && f->from == has && f->to == to)
+    struct ct_cached_frame *f = reported > NL_EMPTY ? &n->nodes_changes : &n->nodes_whole;
+    if (f->bytes.len && f->from == reported && f->to == to)
         return f;
-    nl_since(&n->nodes, has, &ch);
-    f->from = has;
+    nl_since(&n->nodes, reported, &ch);
+    f->from = reported;
     f->to = to;
     f->bytes.len = 0;
-    encode_nodes(&ch, has != 0, &f->bytes);
+    encode_nodes(&ch, reported != 0, &f->bytes);
     return f;
 }
 
@@ -290,11 +290,11 @@
 /* Records the hash of the list that the node reports, since it may not have applied the list
  * sent to it. A list sent less than half a lease ago may still be in transit and is not
  * replaced. */
-static void note_node_list(struct ct_conn *c, uint64_t has, int64_t now)
+static void note_node_list(struct ct_conn *c, uint64_t reported, int64_t now)
 {
     bool late = now - c->nodes_sent_at > CK_MS(c->node->s->lease_ms) / 2;
     if (!c->reported_nodes || late)
-        c->nodes_hash = has;
+        c->nodes_hash = reported;
     c->reported_nodes = true;
 }
 
--- a/control/ops.c
+++ b/control/ops.c
@@ -104,7 +104,7 @@
         {"changes_refused_total", n->counters.refused_changes},
         {"promotions_total", n->counters.promotions},
         {"bad_messages_total", n->counters.bad_messages},
-        {"refused_peers_total", n->counters.wrong_cluster},
+        {"refused_peers_total", n->counters.refused_peers},
         {"platform_failures_total", n->counters.platform_failures},
         {"disk_syncs_total", syncs},
         {"disk_longest_us", (uint64_t)longest},
--- a/control/peers.c
+++ b/control/peers.c
@@ -208,7 +208,7 @@
 
 static void refuse(struct ct_conn *c, const char *why)
 {
-    c->node->counters.wrong_cluster++;
+    c->node->counters.refused_peers++;
     FL_WARN(&c->node->log, "connection of a peer refused: %s", why);
     nt_close(c->net, true);
 }
@@ -228,9 +228,9 @@
 static void on_hello(struct ct_conn *c, const struct wr_hello *h)
 {
     struct ct_node *n = c->node;
-    const char *wrong = wr_hello_wrong(h, n->s->cluster, n->id);
-    if (wrong) {
-        refuse(c, wrong);
+    const char *mismatch = wr_hello_wrong(h, n->s->cluster, n->id);
+    if (mismatch) {
+        refuse(c, mismatch);
         return;
     }
     if (!sr_copy(c->name, sizeof(c->name), h->name) ||
--- a/control/platform.c
+++ b/control/platform.c
@@ -62,8 +62,8 @@
         const struct vw_group *v = &n->view.groups[g];
         for (int i = 0; i < v->n; i++) {
             const struct vw_instance *in = &v->inst[i];
-            bool same = strcmp(in->ip, ip) == 0 && (port == 0 || in->port == port);
-            if (!same || in->draining)
+            bool matches = strcmp(in->ip, ip) == 0 && (port == 0 || in->port == port);
+            if (!matches || in->draining)
                 continue;
             drain(n, v, in->id);
             return; /* the proposal may change the view; the next poll handles the rest */
--- a/control/watch.c
+++ b/control/watch.c
@@ -153,8 +153,8 @@
 static int64_t probe_interval_us(const struct ct_node *n)
 {
     int64_t by_rate = CK_SEC(1) * n->n_insts / n->s->probe_rate;
-    int64_t set = CK_MS(n->s->probe_ms);
-    return by_rate > set ? by_rate : set;
+    int64_t configured = CK_MS(n->s->probe_ms);
+    return by_rate > configured ? by_rate : configured;
 }
 
 /* A replica of a serving group is probed less often: entry nodes notice themselves when a
@@ -170,8 +170,9 @@
 /* An instance is silent when three probes went unanswered and control.silence_ms has passed. */
 static int64_t silence_limit_us(const struct ct_inst *in)
 {
-    int64_t three = 3 * inst_probe_interval_us(in), set = CK_MS(in->node->s->silence_ms);
-    return three > set ? three : set;
+    int64_t intervals = 3 * inst_probe_interval_us(in),
+            configured = CK_MS(in->node->s->silence_ms);
+    return intervals > configured ? intervals : configured;
 }
 
 void ct_probe(struct ct_inst *in, int64_t now)
--- a/lease/lease.c
+++ b/lease/lease.c
@@ -57,9 +57,9 @@
     return g->n < LS_MAX_NODES ? &g->nodes[g->n++] : NULL;
 }
 
-int64_t ls_grant(struct ls_grantor *g, uint64_t id, int64_t vouched_until, int64_t now)
+int64_t ls_grant(struct ls_grantor *g, uint64_t id, int64_t confirmed_until, int64_t now)
 {
-    if (now >= vouched_until)
+    if (now >= confirmed_until)
         return 0;
     struct ls_node *n = find(g, id);
     if (!n) {
