--- a/control/control.h
+++ b/control/control.h
@@ -253,9 +253,13 @@
 };
 
 /* control.c */
+/* Opens the data folder and the ports and starts the role. `platform` may be NULL. `bootstrap`
+ * creates a new cluster. `stopped` is called when the role has stopped; `failed`: because the
+ * disk failed. NULL with *err on failure. */
 struct ct_node *ct_create(struct nt_loop *l, const struct st_settings *s, struct tl_ring *tl,
                           const struct ct_platform_ops *platform, bool bootstrap,
                           void (*stopped)(void *ud, bool failed), void *ud, struct er_err *err);
+/* Begins a planned stop: a leader hands its role over first. */
 void ct_stop(struct ct_node *n);
 void ct_destroy(struct ct_node *n);
 /* Whether a quorum has confirmed this leader recently enough that no other node can have been
@@ -320,14 +324,18 @@
 void ct_groups_sync(struct ct_node *n);
 /* The same for one group. */
 void ct_group_sync(struct ct_node *n, const char *name);
+/* A new leader begins: resets the failover state of all groups. */
 void ct_watch_begin(struct ct_node *n);
+/* Opens connections to instances, probes them, and ticks the groups. */
 void ct_watch_tick(struct ct_node *n, int64_t now);
 void ct_on_probes(struct ct_conn *c, const struct wr_probes *p);
 void ct_on_check_reply(struct ct_node *n, const struct wr_check *c);
 void ct_on_suspect(struct ct_conn *c, const struct wr_check *m);
 /* Sends a request; returns its id, 0 if it could not be sent. */
 uint64_t ct_send_op(struct ct_inst *in, struct ep_request *q);
+/* Sends a status request. */
 void ct_probe(struct ct_inst *in, int64_t now);
+/* NULL if there is no group of that name. */
 struct ct_group *ct_group_of(struct ct_node *n, const char *name);
 /* Whether the instance follows the primary and holds all that the primary holds, by probes that
  * are fresh. `ud` is the ct_node. */
@@ -338,12 +346,13 @@
  * for none. */
 void ct_propose_for_group(struct ct_node *n, const struct ct_group *g, int inst,
                           struct vw_change *ch);
+/* Lets the group's failover decide and act, if this node is a confirmed leader. */
 void ct_group_tick(struct ct_node *n, struct ct_group *g);
 /* Ticks the groups that changed in the next iteration of the loop: a tick proposes changes,
  * which must not be done within the quorum's callbacks. */
 void ct_schedule_group_ticks(struct ct_node *n);
 
-/* intents.c */
+/* intents.c: carries out operators' intents */
 void ct_intents_tick(struct ct_node *n, int64_t now);
 
 /* platform.c: the platform's list of VMs */
@@ -355,8 +364,10 @@
 void ct_await_commit(struct ct_node *n, struct nt_conn *c, uint64_t index,
                      void (*done)(struct ct_node *n, struct nt_conn *c,
                                   const struct er_err *err));
+/* Entry `e` was committed: answers the requests that wait for it. */
 void ct_commit_waits_applied(struct ct_node *n, const struct qr_entry *e);
-/* This node stopped leading: entries that are not committed yet may or may not be later. */
+/* This node stopped leading: ends all waits, as their entries may or may not be committed
+ * later. */
 void ct_commit_waits_abort(struct ct_node *n);
 void ct_commit_waits_tick(struct ct_node *n, int64_t now);
 /* Whether this node may answer with the newest state. Otherwise *err is ER_NOT_LEADER (another
--- a/control/nodes.c
+++ b/control/nodes.c
@@ -251,8 +251,8 @@
     free(gone);
 }
 
-/* The encoded changes for a node that has the list with hash `has`. The message sent last is
- * used again if it is the same, as most nodes have the same list. */
+/* The encoded changes for a node that has the list with hash `reported`. The message sent last
+ * is used again if it is the same, as most nodes have the same list. */
 static const struct ct_cached_frame *nodes_frame(struct ct_node *n, uint64_t reported)
 {
     uint64_t to = nl_newest(&n->nodes)->hash;
--- a/lease/lease.h
+++ b/lease/lease.h
@@ -55,7 +55,7 @@
 /* A new leader begins. `first`: the cluster was just created. */
 void ls_grantor_begin(struct ls_grantor *g, int64_t lease_us, int64_t now, bool first);
 /* Grants a renewal to node `id`; returns the lease's duration, 0 if it is refused.
- * `vouched_until` comes from the quorum: after it this leader may have been replaced without
+ * `confirmed_until` comes from the quorum: after it this leader may have been replaced without
  * knowing it. */
 int64_t ls_grant(struct ls_grantor *g, uint64_t id, int64_t confirmed_until, int64_t now);
 /* The node has applied `generation`. */
