--- a/control/commit_wait.c
+++ b/control/commit_wait.c
@@ -26,7 +26,7 @@
     return "";
 }
 
-static void finish(struct ct_commit_wait *w, const struct er_err *err)
+static void answer(struct ct_commit_wait *w, const struct er_err *err)
 {
     struct nt_conn *c = w->conn;
     w->index = 0;
@@ -72,7 +72,7 @@
             continue;
         if (w->index != e->index || w->term != e->term)
             er_set(&err, ER_NO_QUORUM, "another entry has its index in the log");
-        finish(w, &err);
+        answer(w, &err);
     }
 }
 
@@ -81,7 +81,7 @@
 {
     struct er_err err = {0};
     er_set(&err, ER_NO_QUORUM, "%s; the change may or may not be committed", why);
-    finish(w, &err);
+    answer(w, &err);
 }
 
 void ct_commit_waits_abort(struct ct_node *n)
--- a/control/initial_voters.c
+++ b/control/initial_voters.c
@@ -27,7 +27,8 @@
     return text;
 }
 
-static bool parse(const char *text, struct qr_members *m, const char *path, struct er_err *err)
+static bool parse_members(const char *text, struct qr_members *m, const char *path,
+                          struct er_err *err)
 {
     json_t *a = json_loads(text, 0, NULL);
     size_t i;
@@ -93,5 +94,5 @@
     if (len < 0)
         return disk_error(path, err);
     text[len] = 0;
-    return parse(text, m, path, err);
+    return parse_members(text, m, path, err);
 }
--- a/control/intents.c
+++ b/control/intents.c
@@ -11,8 +11,8 @@
     return match > 0 && match >= qr_commit(n->q);
 }
 
-static void finish(struct ct_node *n, const struct vw_intent *it, enum vw_intent_state state,
-                   const char *note)
+static void end_intent(struct ct_node *n, const struct vw_intent *it,
+                       enum vw_intent_state state, const char *note)
 {
     struct vw_change ch = {.kind = VW_CH_PROGRESS, .intent = *it};
     struct er_err err = {0};
@@ -45,10 +45,10 @@
         ok = qr_remove(n->q, a->member.id, now, &err);
         break;
     case IT_DONE:
-        finish(n, it, VW_DONE, "");
+        end_intent(n, it, VW_DONE, "");
         break;
     case IT_FAIL:
-        finish(n, it, VW_FAILED, a->note);
+        end_intent(n, it, VW_FAILED, a->note);
         break;
     }
     if (!ok)
@@ -64,7 +64,7 @@
     bool ok = args && it_parse(args, &r, &err);
     json_decref(args);
     if (!ok) {
-        finish(n, it, VW_FAILED, err.text);
+        end_intent(n, it, VW_FAILED, err.text);
         return;
     }
     it_next(&n->view, &r, f, &a);
--- a/control/nodes.c
+++ b/control/nodes.c
@@ -24,7 +24,7 @@
 
 /* Bytes queued for sending to all nodes; limits the memory for whole views when hundreds of
  * nodes start together. */
-static size_t views_queued(const struct ct_node *n)
+static size_t queued_bytes(const struct ct_node *n)
 {
     size_t sum = 0;
     for (const struct ct_conn *c = n->conns; c; c = c->next)
@@ -81,7 +81,7 @@
         !pv_try_send(&c->pending_view, &n->pace, ck_now()))
         return;
     bool whole = ct_needs_whole_view(n, from);
-    if (whole && views_queued(n) > MAX_QUEUED_VIEW_BYTES)
+    if (whole && queued_bytes(n) > MAX_QUEUED_VIEW_BYTES)
         return;
     const struct ct_cached_frame *f = view_frame(n, from, whole);
     n->counters.views++;
@@ -234,21 +234,21 @@
 static void encode_nodes(const struct nl_change *ch, bool known, struct sr_buf *out)
 {
     struct wr_node *added = sr_alloc(sizeof(*added) * (size_t)(ch->n_came + 1));
-    struct sr_str *gone = sr_alloc(sizeof(*gone) * (size_t)(ch->n_gone + 1));
+    struct sr_str *removed = sr_alloc(sizeof(*removed) * (size_t)(ch->n_gone + 1));
     struct wr_msg m = {.type = WR_NODES,
                        .nodes = {.n = (uint32_t)ch->n_came,
                                  .nodes = added,
                                  .from = ch->from,
                                  .to = known ? ch->to : 0,
                                  .n_gone = (uint32_t)ch->n_gone,
-                                 .gone = gone}};
+                                 .gone = removed}};
     for (int i = 0; i < ch->n_came; i++)
         added[i] = wire_node(ch->came[i]);
     for (int i = 0; i < ch->n_gone; i++)
-        gone[i] = sr_from(ch->gone[i]);
+        removed[i] = sr_from(ch->gone[i]);
     wr_encode(out, &m);
     free(added);
-    free(gone);
+    free(removed);
 }
 
 /* The encoded changes for a node that has the list with hash `reported`. The message sent last
--- a/control/platform.c
+++ b/control/platform.c
@@ -29,7 +29,7 @@
             why);
 }
 
-static void drain(struct ct_node *n, const struct vw_group *g, const char *inst)
+static void propose_drain(struct ct_node *n, const struct vw_group *g, const char *inst)
 {
     struct vw_change ch = {.kind = VW_CH_INTENT};
     struct it_request r;
@@ -65,13 +65,13 @@
             bool matches = strcmp(in->ip, ip) == 0 && (port == 0 || in->port == port);
             if (!matches || in->draining)
                 continue;
-            drain(n, v, in->id);
+            propose_drain(n, v, in->id);
             return; /* the proposal may change the view; the next poll handles the rest */
         }
     }
 }
 
-static void on_list(void *ud, int status, const char *body, size_t len)
+static void on_vm_list(void *ud, int status, const char *body, size_t len)
 {
     struct ct_node *n = ud;
     size_t i;
@@ -99,6 +99,6 @@
         return;
     n->next_platform_poll = now + POLL_INTERVAL_US;
     n->platform_polled = true;
-    nt_http_get(n->loop, n->s->platform_ip, n->s->platform_port, "GET", "/vms", NULL, on_list,
-                n);
+    nt_http_get(n->loop, n->s->platform_ip, n->s->platform_port, "GET", "/vms", NULL,
+                on_vm_list, n);
 }
