--- a/control/initial_voters.c
+++ b/control/initial_voters.c
@@ -1,5 +1,6 @@
-/* The first voters of a cluster, as they were when it was made, in a file of the data folder:
- * settings may name others by the time a founder starts again with nothing in its log yet. */
+/* The initial voters of a cluster, stored in the file `founders` of the data folder when the
+ * cluster is created: the settings may list other nodes by the time an initial voter restarts
+ * with an empty log. */
 #include <errno.h>
 #include <fcntl.h>
 #include <stdlib.h>
@@ -7,9 +8,9 @@
 
 #include "control/control.h"
 
-enum { PATH = 320, TEXT = 8192 };
+enum { MAX_PATH_BYTES = 320, MAX_TEXT_BYTES = 8192 };
 
-static bool fail(const char *path, struct er_err *err)
+static bool disk_error(const char *path, struct er_err *err)
 {
     return er_set(err, ER_DISK, "%s: %s", path, strerror(errno));
 }
@@ -26,7 +27,8 @@
     return text;
 }
 
-static bool parse(const char *text, struct qr_members *m, const char *path, struct er_err *err)
+static bool parse_members(const char *text, struct qr_members *m, const char *path,
+                          struct er_err *err)
 {
     json_t *a = json_loads(text, 0, NULL);
     size_t i;
@@ -50,32 +52,33 @@
     return ok || er_set(err, ER_CORRUPT, "%s: expected a list of members", path);
 }
 
-/* Written beside, synced, renamed, and the folder synced: it is there whole or not at all. */
+/* Writes a temporary file, syncs it, renames it and syncs the folder, so that the file exists
+ * completely or not at all. */
 static bool write_file(const char *dir, const char *path, const char *text, struct er_err *err)
 {
-    char tmp[PATH + 8];
+    char tmp[MAX_PATH_BYTES + 8];
     snprintf(tmp, sizeof(tmp), "%s.new", path);
     int fd = open(tmp, O_WRONLY | O_CREAT | O_TRUNC, 0600);
     if (fd < 0)
-        return fail(tmp, err);
+        return disk_error(tmp, err);
     size_t len = strlen(text);
     bool ok = write(fd, text, len) == (ssize_t)len && fsync(fd) == 0;
     ok = close(fd) == 0 && ok;
     if (!ok || rename(tmp, path) != 0)
-        return fail(path, err);
+        return disk_error(path, err);
     fd = open(dir, O_RDONLY | O_DIRECTORY);
     if (fd < 0)
-        return fail(dir, err);
+        return disk_error(dir, err);
     ok = fsync(fd) == 0;
     close(fd);
-    return ok || fail(dir, err);
+    return ok || disk_error(dir, err);
 }
 
-bool ct_initial_voters(struct ct_node *n, bool found, struct qr_members *m, struct er_err *err)
+bool ct_initial_voters(struct ct_node *n, bool create, struct qr_members *m, struct er_err *err)
 {
-    char path[PATH], text[TEXT];
+    char path[MAX_PATH_BYTES], text[MAX_TEXT_BYTES];
     snprintf(path, sizeof(path), "%s/founders", n->s->data);
-    if (found) {
+    if (create) {
         char *s = members_text(m);
         bool ok = write_file(n->s->data, path, s, err);
         free(s);
@@ -83,13 +86,13 @@
     }
     int fd = open(path, O_RDONLY);
     if (fd < 0 && errno == ENOENT)
-        return true; /* it lost power before its first start was done: the others know it */
+        return true; /* the node lost power during its first start; the other voters know it */
     if (fd < 0)
-        return fail(path, err);
+        return disk_error(path, err);
     ssize_t len = read(fd, text, sizeof(text) - 1);
     close(fd);
     if (len < 0)
-        return fail(path, err);
+        return disk_error(path, err);
     text[len] = 0;
-    return parse(text, m, path, err);
+    return parse_members(text, m, path, err);
 }
--- a/control/members.c
+++ b/control/members.c
@@ -1,12 +1,13 @@
-/* Voters come and go without an operator: what member/ decides, carried out by the leader. And
- * where the control nodes are, told to whoever is connected. */
+/* Adds, promotes and removes members of the quorum without an operator: the leader carries out
+ * what member/ decides. Also sends the addresses of the control nodes to connected processes.
+ */
 #include <xxhash.h>
 
 #include "control/control.h"
 #include "member/member.h"
 #include "misc/clock.h"
 
-enum { EVERY_US = 100000 };
+enum { MEMBER_INTERVAL_US = 100000 };
 
 static void add_members(struct ct_node *n, struct mb_state *s, int64_t now)
 {
@@ -22,11 +23,11 @@
                              .voter = x->voter,
                              .connected = self,
                              .caught_up = match > 0 && match >= qr_commit(n->q),
-                             .heard_us = self ? 0 : now - qr_last_contact(n->q, x->id)};
+                             .silent_us = self ? 0 : now - qr_last_contact(n->q, x->id)};
     }
 }
 
-static bool listed(const struct mb_state *s, uint64_t id)
+static bool has_node(const struct mb_state *s, uint64_t id)
 {
     for (int i = 0; i < s->n; i++) {
         if (s->node[i].id == id)
@@ -44,16 +45,16 @@
     return NULL;
 }
 
-static void add_strangers(struct ct_node *n, struct mb_state *s)
+static void add_non_members(struct ct_node *n, struct mb_state *s)
 {
-    for (struct ct_conn *c = n->conns; c && s->n < MB_MAX; c = c->next) {
-        if (!c->greeted || c->role != WR_ROLE_CONTROL || listed(s, c->id))
+    for (struct ct_conn *c = n->conns; c && s->n < MB_MAX_NODES; c = c->next) {
+        if (!c->greeted || c->role != WR_ROLE_CONTROL || has_node(s, c->id))
             continue;
         s->node[s->n++] = (struct mb_node){.id = c->id, .ip = c->ip, .connected = true};
     }
 }
 
-static bool add(struct ct_node *n, uint64_t id, int64_t now, struct er_err *err)
+static bool add_learner(struct ct_node *n, uint64_t id, int64_t now, struct er_err *err)
 {
     const struct ct_conn *c = control_conn(n, id);
     struct qr_member m = {.id = id, .port = c->port};
@@ -63,7 +64,7 @@
     return qr_add_learner(n->q, &m, now, err);
 }
 
-static void carry_out(struct ct_node *n, const struct mb_action *a, int64_t now)
+static void apply_action(struct ct_node *n, const struct mb_action *a, int64_t now)
 {
     static const char *const names[] = {"", "learns", "votes", "removed"};
     struct er_err err = {0};
@@ -72,7 +73,7 @@
     case MB_NONE:
         return;
     case MB_ADD:
-        ok = add(n, a->id, now, &err);
+        ok = add_learner(n, a->id, now, &err);
         break;
     case MB_VOTER:
         ok = qr_promote_learner(n->q, a->id, now, &err);
@@ -85,23 +86,24 @@
         FL_EVENT(&n->log, LG_INFO, "member_changed", "member=%llx step=%s why=%s",
                  (unsigned long long)a->id, names[a->step], a->why);
     else
-        FL_DBG(&n->log, "member %llx: %s; tried again", (unsigned long long)a->id, err.text);
+        FL_DBG(&n->log, "member %llx: %s; will be retried", (unsigned long long)a->id,
+               err.text);
 }
 
 void ct_members_tick(struct ct_node *n, int64_t now)
 {
     if (!n->s->registers || now < n->next_member_tick)
         return;
-    n->next_member_tick = now + EVERY_US;
+    n->next_member_tick = now + MEMBER_INTERVAL_US;
     for (struct ct_conn *c = n->conns; c; c = c->next)
         ct_send_controls(c);
     if (!n->leading || !ct_quorum_confirmed(n))
         return;
     struct mb_state s = {.self = n->id, .tolerates = n->s->tolerates};
     add_members(n, &s, now);
-    add_strangers(n, &s);
+    add_non_members(n, &s);
     struct mb_action a = mb_next(&s);
-    carry_out(n, &a, now);
+    apply_action(n, &a, now);
 }
 
 void ct_send_controls(struct ct_conn *c)
--- a/control/peers.c
+++ b/control/peers.c
@@ -1,16 +1,18 @@
-/* Sockets between processes: those that others opened to us, and ours to other control nodes.
- */
+/* Connections between processes: those that control nodes, entry nodes and observers opened to
+ * this node, and those that this node opened to other control nodes. A control node sends
+ * quorum messages and the results of its probes on the connection that it opened itself. */
 #include <stdlib.h>
 
 #include "control/control.h"
 #include "misc/clock.h"
 
 enum {
-    FORGET_US = 10000000, /* an address where nobody of ours answers is forgotten */
-    MAX_QUEUED_TO_PEER = 4 << 20
+    FORGET_ADDRESS_US = 10000000, /* an address without a member is dropped after it did not
+                                     answer for this time */
+    MAX_PEER_QUEUE_BYTES = 4 << 20
 };
 
-static void send_on(struct ct_node *n, struct nt_conn *net, const struct wr_msg *m)
+static void send_msg(struct ct_node *n, struct nt_conn *net, const struct wr_msg *m)
 {
     struct sr_buf b = {0};
     wr_encode(&b, m);
@@ -22,10 +24,10 @@
 void ct_send_conn(struct ct_conn *c, const struct wr_msg *m)
 {
     if (c->net)
-        send_on(c->node, c->net, m);
+        send_msg(c->node, c->net, m);
 }
 
-/* ---- our connections to other control nodes ---- */
+/* ---- connections to other control nodes ---- */
 
 static struct ct_peer *peer_of(struct ct_node *n, uint64_t id)
 {
@@ -36,12 +38,13 @@
     return NULL;
 }
 
-/* A peer that can't take messages loses them: the core sends anew what matters. */
+/* Messages to a peer that is not connected or too slow are dropped: the quorum protocol sends
+ * them again where needed. */
 void ct_send_peer(struct ct_node *n, uint64_t id, const struct wr_msg *m)
 {
     struct ct_peer *p = peer_of(n, id);
-    if (p && p->net && p->open && nt_queued(p->net) < MAX_QUEUED_TO_PEER)
-        send_on(n, p->net, m);
+    if (p && p->net && p->open && nt_queued(p->net) < MAX_PEER_QUEUE_BYTES)
+        send_msg(n, p->net, m);
 }
 
 static struct ct_peer *peer_add(struct ct_node *n, const struct qr_member *m)
@@ -63,8 +66,8 @@
     return NULL;
 }
 
-/* An address where a control node is said to be; who is there greets us by its own connection.
- */
+/* Adds an address where a control node is reported to be; its id is learned from the hello
+ * message on the connection that it opens itself. */
 static void add_address(struct ct_node *n, const char *name, const char *ip, int port)
 {
     struct qr_member m = {.port = port};
@@ -98,7 +101,7 @@
                                 .role = WR_ROLE_CONTROL,
                                 .id = n->id,
                                 .expect = expect};
-    send_on(n, net, &m);
+    send_msg(n, net, &m);
 }
 
 static void peer_open(struct nt_conn *net, void *ud)
@@ -110,15 +113,16 @@
     hello(p->node, net, p->member.id);
 }
 
-/* Answers of the agreement come on the other side's own connection; here it only tells where
- * control nodes are. */
+/* The peer sends its messages on the connection that it opened itself; on this one it only
+ * sends the addresses of the control nodes. */
 static void peer_message(struct nt_conn *net, void *ud, const char *data, size_t len)
 {
     struct ct_peer *p = ud;
     struct wr_msg m;
     struct er_err err = {0};
     if (!wr_decode(&p->node->dec, data, len, &m, &err)) {
-        FL_WARN(&p->node->log, "from %s: %s; closing", p->member.ip, err.text);
+        FL_WARN(&p->node->log, "bad message from %s: %s; closing the connection", p->member.ip,
+                err.text);
         nt_close(net, true);
     } else if (m.type == WR_CONTROLS) {
         learn_addresses(p->node, &m.nodes);
@@ -138,7 +142,7 @@
 
 static const struct nt_ops peer_ops = {peer_open, peer_message, peer_close};
 
-static void drop_peer(struct ct_node *n, struct ct_peer *p)
+static void peer_remove(struct ct_node *n, struct ct_peer *p)
 {
     struct ct_peer **at = &n->peers;
     while (*at != p)
@@ -147,16 +151,17 @@
     free(p);
 }
 
-/* Members change and addresses are used again: what is no member and did not answer for long is
- * forgotten; seeds are tried again as long as the settings name them. */
-static bool outdated(struct ct_node *n, const struct ct_peer *p, int64_t now)
+/* Whether to drop a peer that is no member and has not answered for FORGET_ADDRESS_US: members
+ * change and their addresses are reused. Seeds are added again as long as the settings name
+ * them. */
+static bool is_stale(struct ct_node *n, const struct ct_peer *p, int64_t now)
 {
     const struct qr_members *ms = qr_members(n->q);
     for (uint32_t i = 0; p->member.id && i < ms->n; i++) {
         if (ms->m[i].id == p->member.id)
             return false;
     }
-    return n->s->registers && !p->net && now - p->active_at > FORGET_US;
+    return n->s->registers && !p->net && now - p->active_at > FORGET_ADDRESS_US;
 }
 
 void ct_peers_sync(struct ct_node *n)
@@ -169,7 +174,7 @@
         if (!p) {
             p = peer_at(n, ms->m[i].ip, ms->m[i].port);
             if (p && p->member.id)
-                p = NULL; /* of another identity */
+                p = NULL; /* the address belongs to another id */
         }
         if (!p) {
             p = peer_add(n, &ms->m[i]);
@@ -186,8 +191,8 @@
         add_address(n, n->s->voters[i].name, n->s->voters[i].ip, n->s->voters[i].port);
     for (struct ct_peer *p = n->peers, *next; p; p = next) {
         next = p->next;
-        if (outdated(n, p, now)) {
-            drop_peer(n, p);
+        if (is_stale(n, p, now)) {
+            peer_remove(n, p);
         } else if (!p->net && rd_due(&p->redial, now)) {
             p->net = nt_connect(n->loop, p->member.ip, p->member.port, true, &peer_ops, p);
             nt_meter(p->net, &n->peer_traffic);
@@ -199,17 +204,18 @@
     }
 }
 
-/* ---- connections that others opened ---- */
+/* ---- connections that other processes opened ---- */
 
 static void refuse(struct ct_conn *c, const char *why)
 {
-    c->node->counters.wrong_cluster++;
-    FL_WARN(&c->node->log, "a peer is refused: %s", why);
+    c->node->counters.refused_peers++;
+    FL_WARN(&c->node->log, "connection of a peer refused: %s", why);
     nt_close(c->net, true);
 }
 
-/* A connect to it that began before it was there is not answered: it is made anew. */
-static void dial_back(struct ct_node *n, uint64_t id)
+/* A connection attempt that began before the peer was reachable may never be answered, so it is
+ * started again now that the peer has connected. */
+static void reconnect_peer(struct ct_node *n, uint64_t id)
 {
     struct ct_peer *p = peer_of(n, id);
     if (!p || p->open)
@@ -222,15 +228,15 @@
 static void on_hello(struct ct_conn *c, const struct wr_hello *h)
 {
     struct ct_node *n = c->node;
-    const char *wrong = wr_hello_wrong(h, n->s->cluster, n->id);
-    if (wrong) {
-        refuse(c, wrong);
+    const char *mismatch = wr_hello_wrong(h, n->s->cluster, n->id);
+    if (mismatch) {
+        refuse(c, mismatch);
         return;
     }
     if (!sr_copy(c->name, sizeof(c->name), h->name) ||
         !sr_copy(c->domain, sizeof(c->domain), h->domain) ||
         !sr_copy(c->ip, sizeof(c->ip), h->ip)) {
-        refuse(c, "its greeting is wrong");
+        refuse(c, "a text in its hello message is too long");
         return;
     }
     c->greeted = true;
@@ -243,15 +249,15 @@
         struct qr_member m = {.id = c->id, .port = c->port};
         sr_copy(m.name, sizeof(m.name), sr_from(c->name));
         sr_copy(m.ip, sizeof(m.ip), sr_from(c->ip));
-        /* a node without members yet must be able to answer */
+        /* a node that has no members yet must be able to answer */
         peer_add(n, &m)->active_at = ck_now();
     }
     if (c->role == WR_ROLE_CONTROL)
-        dial_back(n, c->id);
+        reconnect_peer(n, c->id);
     ct_send_controls(c);
 }
 
-static void from_control(struct ct_conn *c, const struct wr_msg *m)
+static void handle_control(struct ct_conn *c, const struct wr_msg *m)
 {
     struct ct_node *n = c->node;
     if (m->type == WR_QUORUM && m->quorum.from == c->id)
@@ -260,7 +266,7 @@
         ct_on_probes(c, &m->probes);
 }
 
-static void from_entry(struct ct_conn *c, const struct wr_msg *m)
+static void handle_entry(struct ct_conn *c, const struct wr_msg *m)
 {
     struct ct_node *n = c->node;
     switch (m->type) {
@@ -299,8 +305,8 @@
     struct er_err err = {0};
     if (!wr_decode(&c->node->dec, data, len, &m, &err)) {
         c->node->counters.bad_messages++;
-        FL_WARN(&c->node->log, "from %s: %s; closing", c->name[0] ? c->name : "a peer",
-                err.text);
+        FL_WARN(&c->node->log, "bad message from %s: %s; closing the connection",
+                c->name[0] ? c->name : "a peer", err.text);
         nt_close(net, true);
         return;
     }
@@ -311,9 +317,9 @@
         c->node->counters.bad_messages++;
         nt_close(net, true);
     } else if (c->role == WR_ROLE_CONTROL) {
-        from_control(c, &m);
+        handle_control(c, &m);
     } else if (c->role == WR_ROLE_ENTRY) {
-        from_entry(c, &m);
+        handle_entry(c, &m);
     } else if (m.type == WR_RENEW) {
         ct_on_renew(c, &m.renew);
     }
--- a/control/registrations.c
+++ b/control/registrations.c
@@ -1,10 +1,12 @@
-/* Instances that register themselves. What they tell is agreed before it is acknowledged. */
+/* Instances that register themselves. A call that changes the view is acknowledged only after
+ * the change is committed. */
 #include "control/control.h"
 #include "misc/clock.h"
 
-/* The newest call that this node took of an instance. Soft: another leader starts
- * without it, and what matters (drained, left) is in the view. */
-static struct ct_last_call *seq_of(struct ct_node *n, const char *id)
+/* The newest call of an instance that this node accepted. It is not replicated: another leader
+ * starts without it, and the states that matter (draining, left) are in the view. When the
+ * table is full, it is emptied. */
+static struct ct_last_call *last_call_of(struct ct_node *n, const char *id)
 {
     int i = ix_get(&n->last_call_index, id);
     if (i != IX_NONE)
@@ -21,15 +23,14 @@
     return s;
 }
 
-static bool take(struct ct_node *n, enum rg_need need, const struct vw_change *ch,
-                 struct nt_conn *c,
-                 void (*done)(struct ct_node *, struct nt_conn *, const struct er_err *),
-                 struct er_err *err)
+static bool propose_change(
+    struct ct_node *n, enum rg_result result, const struct vw_change *ch, struct nt_conn *c,
+    void (*done)(struct ct_node *, struct nt_conn *, const struct er_err *), struct er_err *err)
 {
     uint64_t index;
-    if (need == RG_NOTHING || need == RG_LATE)
+    if (result == RG_UNCHANGED || result == RG_STALE)
         return true;
-    if (need == RG_REFUSE || !ct_propose(n, ch, &index, err))
+    if (result == RG_REFUSE || !ct_propose(n, ch, &index, err))
         return false;
     FL_EVENT(&n->log, LG_INFO, "instance_changed", "instance=%s group=%s change=%s",
              ch->instance, ch->group, vw_change_name(ch->kind));
@@ -37,23 +38,23 @@
     return false;
 }
 
-bool ct_register(struct ct_node *n, const struct rg_beat *b, struct nt_conn *c,
+bool ct_register(struct ct_node *n, const struct rg_heartbeat *b, struct nt_conn *c,
                  void (*done)(struct ct_node *, struct nt_conn *, const struct er_err *),
                  struct er_err *err)
 {
     struct vw_change ch;
     struct er_err refused = {0};
-    struct ct_last_call *s = seq_of(n, b->inst.id);
-    enum rg_need need = rg_beat(&n->view, b, &s->last, &ch, &refused);
-    if (!rg_may_end(need) && !ct_may_answer(n, err))
+    struct ct_last_call *s = last_call_of(n, b->inst.id);
+    enum rg_result result = rg_on_heartbeat(&n->view, b, &s->last, &ch, &refused);
+    if (!rg_needs_no_leader(result) && !ct_may_answer(n, err))
         return false;
-    if (need == RG_REFUSE)
+    if (result == RG_REFUSE)
         *err = refused;
-    /* Only of a call that is acknowledged now: one whose change is not committed may come
-     * again. */
-    if (need == RG_NOTHING)
-        s->last = (struct rg_last){b->inst.born, b->seq};
-    return take(n, need, &ch, c, done, err);
+    /* Only for a call that is acknowledged now: one whose change is not committed may be
+     * repeated. */
+    if (result == RG_UNCHANGED)
+        s->last = (struct rg_last_call){b->inst.born, b->seq};
+    return propose_change(n, result, &ch, c, done, err);
 }
 
 bool ct_deregister(struct ct_node *n, const char *id, struct nt_conn *c,
@@ -63,5 +64,5 @@
     struct vw_change ch;
     if (!ct_may_answer(n, err))
         return false;
-    return take(n, rg_leave(&n->view, id, &ch), &ch, c, done, err);
+    return propose_change(n, rg_on_leave(&n->view, id, &ch), &ch, c, done, err);
 }
--- a/control/watch.c
+++ b/control/watch.c
@@ -1,4 +1,4 @@
-/* Instances: connections, probes, and the evidence that comes from them. */
+/* Connections to instances, probes, and the reports on instances' health. */
 #include <stdlib.h>
 
 #include <xxhash.h>
@@ -7,20 +7,20 @@
 #include "misc/clock.h"
 
 enum {
-    RETRY_US = 30000,
-    SILENT_TIMES = 3, /* a connection is made anew after so many times what counts as silent */
-    FRESH_PROBES = 4,
-    /* Probes of a calm replica are so many times rarer: each takes a slot and bytes. With three
-     * instances a group that is 4 probes of 9 fewer. */
-    CALM_REPLICA_TIMES = 3,
-    TELL_US = 1000000,
-    CALM_EVERY = 10, /* ticks between two looks at a group where nothing is under way */
-    /* Connections made or closed in a tick: all of a thousand in one would take a new leader
-     * longer than its followers wait for a heartbeat. */
-    LINES_A_TICK = 16,
+    RECONNECT_DELAY_US = 30000,
+    RECONNECT_AFTER_SILENCES = 3, /* a connection is closed after so many silence limits */
+    FRESH_PROBE_INTERVALS = 4,
+    /* Factor on the interval between probes of a replica that answers: each probe costs a slot
+     * and bytes. With three instances per group this saves 4 of 9 probes. */
+    CALM_REPLICA_PROBE_FACTOR = 3,
+    REPORT_AFTER_CHANGE_US = 1000000,
+    CALM_GROUP_TICKS = 10, /* a calm group is ticked once in so many ticks */
+    /* Connections opened or closed per tick: a new leader that opened a thousand in one tick
+     * would send its next heartbeat after its followers' election timeout. */
+    CONN_CHANGES_PER_TICK = 16,
 };
 
-/* ---- finding ---- */
+/* ---- lookup ---- */
 
 struct ct_group *ct_group_of(struct ct_node *n, const char *name)
 {
@@ -28,8 +28,9 @@
     return i == IX_NONE ? NULL : n->groups[i];
 }
 
-/* The group of the instance that a message names; its id goes to `id`. */
-static struct ct_group *group_with(struct ct_node *n, struct sr_str inst, char id[VW_NAME])
+/* The group of the instance `inst` of a message, or NULL; copies the instance's id to `id`. */
+static struct ct_group *group_of_instance(struct ct_node *n, struct sr_str inst,
+                                          char id[VW_NAME])
 {
     int i = sr_copy(id, VW_NAME, inst) ? ix_get(&n->inst_index, id) : IX_NONE;
     return i == IX_NONE ? NULL : n->groups[i];
@@ -55,7 +56,7 @@
     return q->id;
 }
 
-static void report(struct ct_inst *in, enum pr_health health)
+static void set_health(struct ct_inst *in, enum pr_health health)
 {
     struct ct_node *n = in->node;
     if (in->health != health)
@@ -93,10 +94,10 @@
     struct ct_group *g = in->group;
     if (in->removed)
         return;
-    report(in, PR_UP);
+    set_health(in, PR_UP);
     if (r->result == EP_OK)
         n->failover->replied(g, in->id, r);
-    bool event = g->phase != VW_SERVING;
+    bool phase_running = g->phase != VW_SERVING;
     if (r->id == in->fence_id && r->result == EP_OK) {
         tl_add(n->tl, TL_FENCED, g->name, in->fence_term, "%s at %llu/%llu", in->id,
                (unsigned long long)r->held.term, (unsigned long long)r->held.pos);
@@ -107,7 +108,7 @@
                (unsigned long long)r->pos.pos);
         pr_promoted(&g->pr, in->id, in->promote_term, r->pos);
     }
-    if (event && n->leading)
+    if (phase_running && n->leading)
         ct_group_tick(n, g);
 }
 
@@ -132,66 +133,70 @@
         free(in);
         return;
     }
-    /* A connection that was good is tried anew at once: a refusal tells that the process died.
-     */
-    in->next_connect = ck_now() + (opened ? 0 : RETRY_US);
+    /* After the loss of an open connection the next attempt follows at once: if it is refused,
+     * the process has died. */
+    in->next_connect = ck_now() + (opened ? 0 : RECONNECT_DELAY_US);
     enum pr_health h = refused ? PR_REFUSED : PR_SILENT;
-    bool news = in->health != h;
-    report(in, h);
-    if (news)
-        send_probes(in->node); /* a death is worth a message of its own */
+    bool health_changed = in->health != h;
+    set_health(in, h);
+    if (health_changed)
+        send_probes(in->node); /* the leader must learn of a failure at once */
     if (in->node->leading)
         ct_group_tick(in->node, in->group);
 }
 
 static const struct ep_events events = {on_open, on_reply, on_push, on_close};
 
-/* Between two probes of an instance: as set, or longer if there are so many that the node would
- * send more than control.probe_rate. A closed connection is noticed at once all the same. */
-static int64_t probe_every(const struct ct_node *n)
+/* Interval between two probes of an instance: control.probe_ms, or longer if there are so many
+ * instances that the node would send more than control.probe_rate per second. A closed
+ * connection is noticed at once in any case. */
+static int64_t probe_interval_us(const struct ct_node *n)
 {
     int64_t by_rate = CK_SEC(1) * n->n_insts / n->s->probe_rate;
-    int64_t set = CK_MS(n->s->probe_ms);
-    return by_rate > set ? by_rate : set;
+    int64_t configured = CK_MS(n->s->probe_ms);
+    return by_rate > configured ? by_rate : configured;
 }
 
-/* A replica of a group that serves is asked more rarely: entry nodes notice by themselves what
- * does not answer reads, and a change of primary asks all anew. */
-static int64_t probe_every_of(const struct ct_inst *in)
+/* A replica of a serving group is probed less often: entry nodes notice themselves when a
+ * replica does not answer reads, and a change of primary probes all instances again. */
+static int64_t inst_probe_interval_us(const struct ct_inst *in)
 {
     const struct ct_group *g = in->group;
     bool primary = g->primary >= 0 && g->primary < g->n && g->inst[g->primary] == in;
-    bool calm = g->phase == VW_SERVING && in->health == PR_UP;
-    return probe_every(in->node) * (calm && !primary ? CALM_REPLICA_TIMES : 1);
+    bool is_calm = g->phase == VW_SERVING && in->health == PR_UP;
+    return probe_interval_us(in->node) * (is_calm && !primary ? CALM_REPLICA_PROBE_FACTOR : 1);
 }
 
-/* Silent means that three probes went unanswered. */
-static int64_t silent_after(const struct ct_inst *in)
+/* An instance is silent when three probes went unanswered and control.silence_ms has passed. */
+static int64_t silence_limit_us(const struct ct_inst *in)
 {
-    int64_t three = 3 * probe_every_of(in), set = CK_MS(in->node->s->silence_ms);
-    return three > set ? three : set;
+    int64_t intervals = 3 * inst_probe_interval_us(in),
+            configured = CK_MS(in->node->s->silence_ms);
+    return intervals > configured ? intervals : configured;
 }
 
 void ct_probe(struct ct_inst *in, int64_t now)
 {
     struct ep_request q = {.op = EP_STATUS};
-    /* The first goes out at once, the next at a time of the instance's own: thousands that were
-     * connected together are not to be probed together for ever. */
-    int64_t every = probe_every(in->node);
+    /* The first probe is sent at once, the next after an offset that depends on the instance's
+     * id, so that thousands of instances that were connected together are not probed together.
+     */
+    int64_t every = probe_interval_us(in->node);
     int64_t offset = (int64_t)(XXH64(in->id, strlen(in->id), 0) % (uint64_t)every);
     in->probed_at = in->probed_at ? now : now - offset;
     ct_send_op(in, &q);
 }
 
-/* Where connections to instances are scarce only the leader has one. */
-static bool watches(const struct ct_node *n)
+/* The platform's instances allow few connections, so only the leader connects to them. */
+static bool connects_to_instances(const struct ct_node *n)
 {
     return !n->platform || n->leading;
 }
 
-/* Whether a connection may be made or closed in this tick; if not, the next one begins with
- * this group, so that those that refuse don't keep others from their turn. */
-static bool may_change_line(struct ct_node *n, int group)
+/* Whether a connection may be opened or closed in this tick; if not, the next tick begins with
+ * this group, so that instances that refuse connections don't keep the others from being
+ * connected. */
+static bool may_change_conn(struct ct_node *n, int group)
 {
     if (n->conn_changes_left > 0) {
         n->conn_changes_left--;
@@ -202,12 +207,13 @@
     return false;
 }
 
-/* Probes go out on time whether or not the last one was answered: slow is not silent. */
+/* Probes are sent on time whether or not the last one was answered: a slow instance is not
+ * silent. */
 static void inst_tick(struct ct_inst *in, int group, int64_t now)
 {
     const struct st_settings *s = in->node->s;
-    if (!watches(in->node)) {
-        if (in->conn && may_change_line(in->node, group))
+    if (!connects_to_instances(in->node)) {
+        if (in->conn && may_change_conn(in->node, group))
             in->node->driver->close(in->conn);
         return;
     }
@@ -215,33 +221,33 @@
         char who[64];
         snprintf(who, sizeof(who), "control:%s", s->name);
         struct ep_target to = {in->ip, in->port, in->group->name, in->id};
-        if (now >= in->next_connect && may_change_line(in->node, group))
+        if (now >= in->next_connect && may_change_conn(in->node, group))
             in->conn = in->node->driver->open(in->node->loop, &to, who, &events, in);
         if (in->conn)
             in->connecting_since = now;
         return;
     }
-    if (!in->open && now - in->connecting_since > silent_after(in))
-        report(in, PR_SILENT);
-    /* A connection may be silent for good while a new one would work. */
+    if (!in->open && now - in->connecting_since > silence_limit_us(in))
+        set_health(in, PR_SILENT);
+    /* A connection may have failed unnoticed while a new one would work. */
     if (now - (in->open ? in->replied_at : in->connecting_since) >
-        SILENT_TIMES * silent_after(in)) {
+        RECONNECT_AFTER_SILENCES * silence_limit_us(in)) {
         in->node->driver->close(in->conn);
         return;
     }
     if (!in->open)
         return;
-    if (now - in->probed_at >= probe_every_of(in))
+    if (now - in->probed_at >= inst_probe_interval_us(in))
         ct_probe(in, now);
-    if (now - in->replied_at > silent_after(in) && in->health != PR_SILENT) {
-        report(in, PR_SILENT);
+    if (now - in->replied_at > silence_limit_us(in) && in->health != PR_SILENT) {
+        set_health(in, PR_SILENT);
         send_probes(in->node);
         if (in->node->leading)
             ct_group_tick(in->node, in->group);
     }
 }
 
-/* ---- groups follow the view ---- */
+/* ---- groups and instances of the view ---- */
 
 static struct ct_inst *inst_new(struct ct_node *n, struct ct_group *g,
                                 const struct vw_instance *v)
@@ -256,7 +262,7 @@
     return in;
 }
 
-static void inst_gone(struct ct_inst *in)
+static void inst_remove(struct ct_inst *in)
 {
     in->removed = true;
     sh_drop_instance(&in->node->shares, in->id);
@@ -268,7 +274,7 @@
         free(in);
 }
 
-/* As the document in force says, else as the instance's entry does. */
+/* From the configuration document in force if it has a value, else from the view. */
 static int max_conns(const struct ct_node *n, const struct ct_group *g,
                      const struct vw_instance *in)
 {
@@ -276,7 +282,7 @@
     return s && s->max_conns > 0 ? s->max_conns : in->max_conns;
 }
 
-static bool same_life(const struct ct_inst *in, const struct vw_instance *v)
+static bool same_process(const struct ct_inst *in, const struct vw_instance *v)
 {
     return strcmp(in->id, v->id) == 0 && in->born == v->born;
 }
@@ -286,7 +292,7 @@
     struct ct_inst *next[VW_MAX_INSTANCES] = {0};
     for (int i = 0; i < v->n; i++) {
         for (int k = 0; k < g->n; k++) {
-            if (g->inst[k] && same_life(g->inst[k], &v->inst[i])) {
+            if (g->inst[k] && same_process(g->inst[k], &v->inst[i])) {
                 next[i] = g->inst[k];
                 g->inst[k] = NULL;
             }
@@ -301,7 +307,7 @@
     }
     for (int k = 0; k < g->n; k++) {
         if (g->inst[k])
-            inst_gone(g->inst[k]);
+            inst_remove(g->inst[k]);
     }
     memcpy(g->inst, next, sizeof(next));
     g->n = v->n;
@@ -354,7 +360,7 @@
     }
 }
 
-/* ---- evidence from others ---- */
+/* ---- reports from other nodes ---- */
 
 static enum pr_health health_of(enum wr_health h)
 {
@@ -367,7 +373,7 @@
     struct ct_node *n = c->node;
     for (uint32_t i = 0; i < p->n; i++) {
         char id[VW_NAME];
-        struct ct_group *g = group_with(n, p->probes[i].inst, id);
+        struct ct_group *g = group_of_instance(n, p->probes[i].inst, id);
         if (!g)
             continue;
         n->failover->probed(g, id, c->id, c->domain, health_of(p->probes[i].health));
@@ -379,7 +385,7 @@
 void ct_on_check_reply(struct ct_node *n, const struct wr_check *m)
 {
     char id[VW_NAME];
-    struct ct_group *g = group_with(n, m->inst, id);
+    struct ct_group *g = group_of_instance(n, m->inst, id);
     if (!g)
         return;
     n->failover->checked(g, m->nonce, health_of(m->health));
@@ -390,34 +396,34 @@
 {
     char id[VW_NAME];
     struct ct_node *n = c->node;
-    struct ct_group *g = group_with(n, m->inst, id);
+    struct ct_group *g = group_of_instance(n, m->inst, id);
     if (!g || m->health < WR_SILENT)
         return;
     n->failover->probed(g, id, c->id, c->domain, health_of(m->health));
     ct_group_tick(n, g);
 }
 
-/* Whether the leader should hear of it now: it is not up, or that has just changed. What is up
- * and stays so costs no message. */
-static bool worth_telling(const struct ct_inst *in, int64_t now)
+/* Whether the instance's health is reported to the leader: it is not up, or its health changed
+ * less than REPORT_AFTER_CHANGE_US ago. An instance that stays up costs no message. */
+static bool must_report(const struct ct_inst *in, int64_t now)
 {
-    return in->health != PR_UP || now - in->health_changed_at < TELL_US;
+    return in->health != PR_UP || now - in->health_changed_at < REPORT_AFTER_CHANGE_US;
 }
 
-/* What this node's probes see goes to the leader. */
+/* Sends the results of this node's probes to the leader. */
 static void send_probes(struct ct_node *n)
 {
     static const enum wr_health map[] = {WR_UNKNOWN, WR_OK, WR_SILENT, WR_REFUSED};
     uint64_t leader = qr_leader(n->q);
     int64_t now = ck_now();
-    if (!leader || leader == n->id || !watches(n))
+    if (!leader || leader == n->id || !connects_to_instances(n))
         return;
     struct wr_probe *p = sr_alloc(sizeof(*p) * (size_t)n->n_groups * VW_MAX_INSTANCES);
     uint32_t k = 0;
     for (int g = 0; g < n->n_groups; g++) {
         for (int i = 0; i < n->groups[g]->n && k < WR_MAX_PROBES; i++) {
             const struct ct_inst *in = n->groups[g]->inst[i];
-            if (!worth_telling(in, now))
+            if (!must_report(in, now))
                 continue;
             p[k++] = (struct wr_probe){
                 sr_from(in->id),      map[in->health],     in->status.primary,  in->status.term,
@@ -439,15 +445,16 @@
         return false;
     const struct pr_inst *p = pr_inst_of(g, v->inst[v->primary].id);
     const struct pr_inst *r = pr_inst_of(g, inst);
-    int64_t oldest = ck_now() - FRESH_PROBES * probe_every(n);
+    int64_t oldest = ck_now() - FRESH_PROBE_INTERVALS * probe_interval_us(n);
     if (!p || !r || p->said_at < oldest || r->said_at < oldest)
         return false;
     return r->following == v->term && ps_cmp(r->held, p->held) >= 0;
 }
 
-/* Nothing is under way and the primary answers: whatever ends that is news, which ticks the
- * group at once. Every group at every tick would be 7 % of a core for 940 of them. */
-static bool calm(const struct ct_node *n, const struct ct_group *g)
+/* Whether no change of primary is running and the primary answers. Each event that ends this
+ * state ticks the group at once; ticking all of 940 groups at every tick would take 7 % of a
+ * core. */
+static bool is_calm(const struct ct_node *n, const struct ct_group *g)
 {
     if (g->phase != VW_SERVING || n->failover->busy(g) || g->primary < 0)
         return false;
@@ -458,13 +465,13 @@
 {
     int first = n->next_group > 0 ? n->next_group : 0;
     n->next_group = -1;
-    n->conn_changes_left = LINES_A_TICK;
+    n->conn_changes_left = CONN_CHANGES_PER_TICK;
     for (int k = 0; k < n->n_groups; k++) {
         int g = (first + k) % n->n_groups;
         for (int i = 0; i < n->groups[g]->n; i++)
             inst_tick(n->groups[g]->inst[i], g, now);
-        bool turn = (n->ticks + (unsigned)g) % CALM_EVERY == 0;
-        if (turn || !calm(n, n->groups[g]))
+        bool scheduled = (n->ticks + (unsigned)g) % CALM_GROUP_TICKS == 0;
+        if (scheduled || !is_calm(n, n->groups[g]))
             ct_group_tick(n, n->groups[g]);
     }
     n->ticks++;
--- a/tests/unit/test_lease.c
+++ b/tests/unit/test_lease.c
@@ -13,12 +13,12 @@
 static void holder_counts_from_the_sending(void)
 {
     struct ls_holder h = {0};
-    uint64_t a = ls_sent(&h, CK_MS(100));
+    uint64_t a = ls_renewal_sent(&h, CK_MS(100));
     ls_granted(&h, a, LEASE);
     CU_ASSERT_TRUE(ls_live(&h, CK_MS(2000)));
     CU_ASSERT_FALSE(ls_live(&h, CK_MS(2090))); /* drift allowance */
-    for (int i = 0; i < LS_OUTSTANDING; i++)
-        ls_sent(&h, CK_SEC(10));
+    for (int i = 0; i < LS_MAX_OUTSTANDING; i++)
+        ls_renewal_sent(&h, CK_SEC(10));
     ls_granted(&h, a, LEASE * 100); /* too old to know when it was asked for */
     CU_ASSERT_FALSE(ls_live(&h, CK_SEC(10)));
     ls_granted(&h, h.seq + 1, LEASE); /* never asked for */
@@ -31,11 +31,11 @@
     struct rn_rng rng = rn_seed(5);
     for (int i = 0; i < 1000; i++) {
         struct ls_holder h = {0};
-        static struct ls_giver g;
-        ls_giver_begin(&g, LEASE, 0, true);
+        static struct ls_grantor g;
+        ls_grantor_begin(&g, LEASE, 0, true);
         int64_t sent = (int64_t)rn_below(&rng, 1000000);
         int64_t granted = sent + (int64_t)rn_below(&rng, 500000);
-        uint64_t seq = ls_sent(&h, sent);
+        uint64_t seq = ls_renewal_sent(&h, sent);
         ls_granted(&h, seq, ls_grant(&g, 1, INT64_MAX, granted));
         CU_ASSERT_TRUE(ls_node_live(&g, 1, h.until));
     }
@@ -43,35 +43,35 @@
 
 static void no_grant_without_a_quorum(void)
 {
-    static struct ls_giver g;
-    ls_giver_begin(&g, LEASE, 0, true);
+    static struct ls_grantor g;
+    ls_grantor_begin(&g, LEASE, 0, true);
     CU_ASSERT_EQUAL(ls_grant(&g, 1, CK_MS(100), CK_MS(100)), 0);
     CU_ASSERT_EQUAL(ls_grant(&g, 1, CK_MS(100), CK_MS(99)), LEASE);
 }
 
 static void dropped_by_all_or_run_out(void)
 {
-    static struct ls_giver g;
-    ls_giver_begin(&g, LEASE, 0, true);
+    static struct ls_grantor g;
+    ls_grantor_begin(&g, LEASE, 0, true);
     ls_grant(&g, 1, INT64_MAX, 0);
     ls_grant(&g, 2, INT64_MAX, 0);
     ls_acked(&g, 1, 7);
-    CU_ASSERT_FALSE(ls_all_have(&g, 7, CK_MS(10)));
+    CU_ASSERT_FALSE(ls_all_applied(&g, 7, CK_MS(10)));
     ls_acked(&g, 2, 6);
-    CU_ASSERT_FALSE(ls_all_have(&g, 7, CK_MS(10)));
-    CU_ASSERT_TRUE(ls_all_have(&g, 7, CK_MS(2021))); /* node 2's ran out, with drift */
-    CU_ASSERT_FALSE(ls_all_have(&g, 7, CK_MS(2019)));
+    CU_ASSERT_FALSE(ls_all_applied(&g, 7, CK_MS(10)));
+    CU_ASSERT_TRUE(ls_all_applied(&g, 7, CK_MS(2021))); /* node 2's ran out, with drift */
+    CU_ASSERT_FALSE(ls_all_applied(&g, 7, CK_MS(2019)));
     ls_acked(&g, 2, 7);
-    CU_ASSERT_TRUE(ls_all_have(&g, 7, CK_MS(10)));
+    CU_ASSERT_TRUE(ls_all_applied(&g, 7, CK_MS(10)));
 }
 
 /* A new leader does not know whom the last one gave leases. */
 static void earlier_leaders_leases_count(void)
 {
-    static struct ls_giver g;
-    ls_giver_begin(&g, LEASE, CK_SEC(5), false);
-    CU_ASSERT_FALSE(ls_all_have(&g, 1, CK_SEC(6)));
-    CU_ASSERT_TRUE(ls_all_have(&g, 1, CK_MS(7021)));
+    static struct ls_grantor g;
+    ls_grantor_begin(&g, LEASE, CK_SEC(5), false);
+    CU_ASSERT_FALSE(ls_all_applied(&g, 1, CK_SEC(6)));
+    CU_ASSERT_TRUE(ls_all_applied(&g, 1, CK_MS(7021)));
 }
 
 void lease_suite(void)
--- a/tests/unit/test_member.c
+++ b/tests/unit/test_member.c
@@ -40,7 +40,7 @@
 {
     struct mb_state s = three();
     expect(&s, MB_NONE, 0);
-    s.node[2].heard_us = MB_GONE_US;
+    s.node[2].silent_us = MB_SILENT_LIMIT_US;
     s.node[2].connected = false;
     expect(&s, MB_NONE, 0); /* a voter that is away for a while stays one */
     s.node[s.n++] = node(33, "10.0.0.3", false);
@@ -57,10 +57,10 @@
 static void successor_at_another_address(void)
 {
     struct mb_state s = three();
-    s.node[1].heard_us = MB_GONE_US;
+    s.node[1].silent_us = MB_SILENT_LIMIT_US;
     s.node[s.n++] = node(4, "10.0.0.9", true);
     expect(&s, MB_REMOVE, 2);
-    s.node[3].heard_us = MB_GONE_US; /* with two there nobody is removed */
+    s.node[3].silent_us = MB_SILENT_LIMIT_US; /* with two there nobody is removed */
     expect(&s, MB_NONE, 0);
 }
 
@@ -73,7 +73,7 @@
     expect(&s, MB_ADD, 4);
     s.node[3] = node(4, "10.0.0.4", true);
     s.node[4] = node(5, "10.0.0.5", true);
-    s.node[2].heard_us = MB_GONE_US;
+    s.node[2].silent_us = MB_SILENT_LIMIT_US;
     expect(&s, MB_NONE, 0); /* five are needed */
     s.node[s.n++] = node(6, "10.0.0.6", true);
     expect(&s, MB_REMOVE, 3);
@@ -90,7 +90,7 @@
         s.node[s.n++] = node(i + 1, ips[i], i < 7);
     s.node[7].member = true;
     expect(&s, MB_NONE, 0);
-    s.node[2].heard_us = MB_GONE_US;
+    s.node[2].silent_us = MB_SILENT_LIMIT_US;
     s.node[2].connected = false;
     expect(&s, MB_VOTER, 8);
     s.node[7].voter = true;
@@ -103,9 +103,9 @@
 
 /* ---- instances ---- */
 
-static struct rg_beat beat(const char *id, int port, bool primary, uint64_t seq)
+static struct rg_heartbeat beat(const char *id, int port, bool primary, uint64_t seq)
 {
-    struct rg_beat b = {.group = "reg", .primary = primary, .seq = seq};
+    struct rg_heartbeat b = {.group = "reg", .primary = primary, .seq = seq};
     strcpy(b.inst.id, id);
     strcpy(b.inst.ip, "10.0.0.1");
     b.inst.port = port;
@@ -115,12 +115,12 @@
 }
 
 /* `last`: number of the newest call of its life that the node has taken. */
-static enum rg_need tell(struct vw_view *v, const struct rg_beat *b, uint64_t last)
+static enum rg_result tell(struct vw_view *v, const struct rg_heartbeat *b, uint64_t last)
 {
     struct vw_change ch;
     struct er_err err = {0};
-    struct rg_last taken = {last ? b->inst.born : 0, last};
-    enum rg_need need = rg_beat(v, b, &taken, &ch, &err);
+    struct rg_last_call taken = {last ? b->inst.born : 0, last};
+    enum rg_result need = rg_on_heartbeat(v, b, &taken, &ch, &err);
     if (need == RG_CHANGE)
         CU_ASSERT_TRUE(vw_apply(v, v->generation + 1, &ch, &err));
     return need;
@@ -134,22 +134,22 @@
     struct vw_view leader, follower;
     vw_init(&leader);
     vw_init(&follower);
-    struct rg_beat a = beat("a", 1, true, 1), b = beat("b", 2, false, 1);
-    CU_ASSERT_FALSE(rg_may_end(tell(&leader, &a, 0)));
-    CU_ASSERT_FALSE(rg_may_end(tell(&leader, &b, 0)));
+    struct rg_heartbeat a = beat("a", 1, true, 1), b = beat("b", 2, false, 1);
+    CU_ASSERT_FALSE(rg_needs_no_leader(tell(&leader, &a, 0)));
+    CU_ASSERT_FALSE(rg_needs_no_leader(tell(&leader, &b, 0)));
     tell(&follower, &a, 0); /* b has not come there yet */
-    CU_ASSERT_FALSE(rg_may_end(tell(&follower, &b, 0)));
+    CU_ASSERT_FALSE(rg_needs_no_leader(tell(&follower, &b, 0)));
     a.seq = b.seq = 2;
-    CU_ASSERT_TRUE(rg_may_end(tell(&leader, &a, 1)));
-    CU_ASSERT_TRUE(rg_may_end(tell(&follower, &a, 1)));
+    CU_ASSERT_TRUE(rg_needs_no_leader(tell(&leader, &a, 1)));
+    CU_ASSERT_TRUE(rg_needs_no_leader(tell(&follower, &a, 1)));
     a.inst.draining = true;
     a.seq = 3;
-    CU_ASSERT_FALSE(rg_may_end(tell(&leader, &a, 2)));
-    struct rg_beat again = beat("b", 2, false, 1);
+    CU_ASSERT_FALSE(rg_needs_no_leader(tell(&leader, &a, 2)));
+    struct rg_heartbeat again = beat("b", 2, false, 1);
     again.inst.born = 9;
-    CU_ASSERT_FALSE(rg_may_end(tell(&leader, &again, 0)));
+    CU_ASSERT_FALSE(rg_needs_no_leader(tell(&leader, &again, 0)));
     struct vw_change ch;
-    CU_ASSERT_FALSE(rg_may_end(rg_leave(&leader, "b", &ch)));
+    CU_ASSERT_FALSE(rg_needs_no_leader(rg_on_leave(&leader, "b", &ch)));
 }
 
 static void instances_calls(void)
@@ -158,21 +158,21 @@
     struct vw_change ch;
     struct er_err err = {0};
     vw_init(&w);
-    struct rg_beat a = beat("a", 1, true, 5), b = beat("b", 2, false, 1);
+    struct rg_heartbeat a = beat("a", 1, true, 5), b = beat("b", 2, false, 1);
     CU_ASSERT_EQUAL(tell(&w, &a, 0), RG_CHANGE);
-    CU_ASSERT_EQUAL(tell(&w, &a, 4), RG_NOTHING);
-    CU_ASSERT_EQUAL(tell(&w, &a, 5), RG_LATE); /* the same call again, or an older one */
+    CU_ASSERT_EQUAL(tell(&w, &a, 4), RG_UNCHANGED);
+    CU_ASSERT_EQUAL(tell(&w, &a, 5), RG_STALE); /* the same call again, or an older one */
     CU_ASSERT_EQUAL(tell(&w, &b, 0), RG_CHANGE);
     b.inst.draining = true;
     CU_ASSERT_EQUAL(tell(&w, &b, 1 - 1), RG_CHANGE);
     CU_ASSERT_TRUE(w.groups[0].inst[1].draining);
     b.inst.draining = false; /* another leader does not know its numbers */
-    CU_ASSERT_EQUAL(tell(&w, &b, 0), RG_NOTHING);
+    CU_ASSERT_EQUAL(tell(&w, &b, 0), RG_UNCHANGED);
     CU_ASSERT_TRUE(w.groups[0].inst[1].draining);
-    CU_ASSERT_EQUAL(rg_leave(&w, "b", &ch), RG_CHANGE);
+    CU_ASSERT_EQUAL(rg_on_leave(&w, "b", &ch), RG_CHANGE);
     CU_ASSERT_TRUE(vw_apply(&w, 90, &ch, &err));
-    CU_ASSERT_EQUAL(rg_leave(&w, "b", &ch), RG_LATE);
-    CU_ASSERT_EQUAL(tell(&w, &b, 0), RG_LATE);
+    CU_ASSERT_EQUAL(rg_on_leave(&w, "b", &ch), RG_STALE);
+    CU_ASSERT_EQUAL(tell(&w, &b, 0), RG_STALE);
     vw_free(&w);
 }
 
@@ -185,34 +185,35 @@
     struct er_err err = {0};
     vw_init(&w);
     vw_init(&back);
-    struct rg_beat a = beat("a", 1, true, 50), again = beat("a", 1, false, 1);
-    struct rg_last taken = {1000, 50};
+    struct rg_heartbeat a = beat("a", 1, true, 50), again = beat("a", 1, false, 1);
+    struct rg_last_call taken = {1000, 50};
     a.inst.born = 1000;
     a.inst.draining = true;
     again.inst.born = 2000;
     CU_ASSERT_EQUAL(tell(&w, &a, 0), RG_CHANGE);
-    CU_ASSERT_EQUAL(rg_beat(&w, &again, &taken, &ch, &err), RG_CHANGE);
+    CU_ASSERT_EQUAL(rg_on_heartbeat(&w, &again, &taken, &ch, &err), RG_CHANGE);
     CU_ASSERT_TRUE(vw_apply(&w, w.generation + 1, &ch, &err));
     CU_ASSERT_FALSE(w.groups[0].inst[0].draining);
     CU_ASSERT_EQUAL(w.groups[0].inst[0].born, 2000);
     CU_ASSERT_EQUAL(w.groups[0].n, 1);
     a.seq = 51; /* delayed by a cut; a leader that knows its last call, and one that does not */
-    CU_ASSERT_EQUAL(rg_beat(&w, &a, &(struct rg_last){2000, 1}, &ch, &err), RG_LATE);
-    CU_ASSERT_EQUAL(rg_beat(&w, &a, &(struct rg_last){0}, &ch, &err), RG_LATE);
-    CU_ASSERT_EQUAL(tell(&w, &again, 0), RG_NOTHING);
+    CU_ASSERT_EQUAL(rg_on_heartbeat(&w, &a, &(struct rg_last_call){2000, 1}, &ch, &err),
+                    RG_STALE);
+    CU_ASSERT_EQUAL(rg_on_heartbeat(&w, &a, &(struct rg_last_call){0}, &ch, &err), RG_STALE);
+    CU_ASSERT_EQUAL(tell(&w, &again, 0), RG_UNCHANGED);
     /* Another takes its address: what the one before said late brings it back no more. */
-    struct rg_beat next = beat("b", 1, false, 1);
+    struct rg_heartbeat next = beat("b", 1, false, 1);
     next.inst.born = 3000;
     CU_ASSERT_EQUAL(tell(&w, &next, 0), RG_CHANGE);
-    CU_ASSERT_EQUAL(tell(&w, &again, 0), RG_LATE);
-    struct rg_beat unheard = beat("c", 1, false, 9);
+    CU_ASSERT_EQUAL(tell(&w, &again, 0), RG_STALE);
+    struct rg_heartbeat unheard = beat("c", 1, false, 9);
     unheard.inst.born = 2500;
-    CU_ASSERT_EQUAL(tell(&w, &unheard, 0), RG_LATE);
+    CU_ASSERT_EQUAL(tell(&w, &unheard, 0), RG_STALE);
     /* After a restart of the node, too; but a later life of the first may come. */
     json_t *j = vw_view_json(&w);
     CU_ASSERT_TRUE(vw_view_parse(j, &back, &err));
     json_decref(j);
-    CU_ASSERT_EQUAL(tell(&back, &again, 0), RG_LATE);
+    CU_ASSERT_EQUAL(tell(&back, &again, 0), RG_STALE);
     again.inst.born = 4000;
     again.inst.port = 2;
     CU_ASSERT_EQUAL(tell(&back, &again, 0), RG_CHANGE);
