--- a/quorum/core.h
+++ b/quorum/core.h
@@ -1,5 +1,5 @@
-/* The agreement core's state, shared by its parts (log, elect, lead, follow, quorum). Nobody
- * else includes this; quorum/quorum.h is the contract. */
+/* State of the consensus core, shared by its parts (log, elect, lead, follow, quorum). Private
+ * to this folder; the public interface is quorum/quorum.h. */
 #ifndef FL_QUORUM_CORE_H
 #define FL_QUORUM_CORE_H
 
@@ -9,16 +9,19 @@
 
 struct peer {
     uint64_t id;
-    uint64_t next, match;
-    uint64_t acked_round;
+    uint64_t next, match; /* index of the next entry to send; highest index confirmed */
+    uint64_t acked_round; /* last heartbeat round that the peer answered */
     int64_t last_sent, last_contact;
-    bool probing; /* the match point is being looked for: one message at a time */
-    bool granted;
-    bool fresh; /* it has met no leader since it started, and may not ask for votes before us */
+    bool probing; /* match index unknown: only one message is in flight */
+    bool granted; /* the peer granted its vote or pre-vote */
+    /* The peer has seen no leader since it started, and this node precedes it as the one that
+     * requests votes. */
+    bool fresh;
 };
 
+/* A disk write that is not confirmed yet. */
 struct inflight {
-    uint64_t seq, last_index;
+    uint64_t seq, last_index; /* last_index: end of the log as of this write */
 };
 
 struct qr {
@@ -34,33 +37,36 @@
     struct qr_entry *log; /* log[0] has index snap_index + 1 */
     uint32_t n, cap;
 
-    uint64_t commit, applied, durable;
-    uint64_t matched;          /* follower: last index known to agree with this term's leader */
+    uint64_t commit, applied, durable; /* indexes */
+    uint64_t matched; /* follower: last index known to agree with the leader of the term */
     struct qr_members members; /* newest in the log, committed or not */
-    uint64_t members_index;    /* where that entry stands */
+    uint64_t members_index;    /* index of the entry that holds `members` */
 
-    uint64_t seq, persisted; /* disk writes asked for, confirmed */
-    uint64_t hard_seq;       /* the last write that carried term and vote */
+    uint64_t seq, persisted; /* sequence number of the last disk write requested, confirmed */
+    uint64_t hard_seq;       /* the last write that contained term and vote */
     struct inflight inflight_writes[QR_MAX_INFLIGHT];
     int n_inflight;
-    uint64_t vote_reply_to; /* a granted vote waits for the disk */
-    uint64_t snap_seq;      /* a received snapshot waits for the disk */
+    uint64_t vote_reply_to; /* member whose granted vote waits for the disk; 0: none */
+    uint64_t snap_seq;      /* unused */
 
     int64_t deadline;       /* of the election timer */
-    int64_t leader_contact; /* when a leader of this term was last heard */
-    int64_t no_votes_until; /* started again: it may have vouched for a leader until then */
+    int64_t leader_contact; /* time of the last message from the leader of this term */
+    /* After a restart, no vote is granted until this time, except in a leadership transfer or a
+     * cold start: before the restart, this node may have confirmed a leader whose leadership is
+     * valid until then. */
+    int64_t no_votes_until;
     int64_t leader_since, next_heartbeat;
-    uint64_t round;
+    uint64_t round; /* of heartbeats, the last one sent */
     int64_t round_sent[MAX_ROUNDS];
     struct peer peers[QR_MAX_MEMBERS];
     int n_peers;
-    bool transfer;         /* this election was asked for by the old leader */
-    bool leader_seen;      /* since the start: one was heard, or this node led */
-    int64_t prevotes_sent; /* the last round of pre-votes was */
-    bool cold_start;       /* this election: all voters are fresh, no leader is left */
+    bool transfer;         /* the previous leader requested this election */
+    bool leader_seen;      /* since the start, a leader was heard or this node led */
+    int64_t prevotes_sent; /* time of the last round of pre-vote requests */
+    bool cold_start;       /* in this election no voter has seen a leader since it started */
 };
 
-/* Small and everywhere: inline, since the parts are translation units of their own. */
+/* Inline because all parts call these often and are separate translation units. */
 static inline uint64_t qc_last_index(const struct qr *q)
 {
     return q->snap_index + q->n;
--- a/quorum/disk.c
+++ b/quorum/disk.c
@@ -9,8 +9,8 @@
 #include "misc/clock.h"
 #include "misc/str.h"
 
-/* Between two tries on a disk without room. Origin: short beside what frees room (seconds), and
- * ten refused writes a second cost nothing. */
+/* Interval between two attempts on a disk without free space. It is short compared to the
+ * seconds in which space is freed, and 10 failed writes per second cost nothing. */
 #define SPACE_RETRY_US CK_MS(100)
 
 struct job {
@@ -27,7 +27,7 @@
     pthread_cond_t wakeup;
     struct job *head, **tail;
     bool stop, failed;
-    bool full; /* the first job of `batch` that is not durable waits for room */
+    bool full; /* the first job of the batch that is not durable waits for free space */
     uint64_t done, syncs;
     int64_t longest_us;
     struct er_err err;
@@ -79,8 +79,9 @@
     }
 }
 
-/* Write a batch and sync once; *seq is the last job's then. On failure *batch begins with the
- * first job that is not durable: a snapshot stands for all before it. */
+/* Writes a batch and syncs once; *seq is the last job's on return. On failure *batch begins
+ * with the first job that is not durable: a written snapshot makes all jobs before it durable.
+ */
 static bool write_batch(struct dk_disk *d, struct job **batch, uint64_t *seq,
                         struct er_err *err)
 {
@@ -97,7 +98,7 @@
     return so_sync(d->store, err);
 }
 
-/* Wait for room or the order to stop. Called and left with the lock held. */
+/* Waits for the retry interval or until the task is stopped. The caller holds the lock. */
 static void wait_for_retry(struct dk_disk *d)
 {
     struct timespec until;
@@ -109,8 +110,8 @@
         ;
 }
 
-/* Do the batch, however long it takes until there is room. Called and left with the lock held;
- * false: a failure for good, or the order to stop. */
+/* Writes the batch, again and again while the disk has no free space. The caller holds the
+ * lock. Returns false on a final failure, or if the task is stopped. */
 static bool write_batch_with_retries(struct dk_disk *d, struct job **batch, uint64_t *seq)
 {
     for (;;) {
@@ -153,7 +154,7 @@
             d->longest_us = took;
         if (ok)
             d->done = seq;
-        else if (d->full) /* there was no room until the end */
+        else if (d->full) /* stopped while the disk had no free space */
             break;
         else
             d->failed = true;
--- a/quorum/disk.h
+++ b/quorum/disk.h
@@ -1,8 +1,9 @@
-/* The disk task: a thread that writes and syncs, so that a slow sync stalls no heartbeat.
- * Requests are copied, done in order and synced in groups.
+/* The disk task: a thread that writes and syncs, so that a slow sync delays no heartbeat.
+ * Requests are copied, written in order and synced in batches.
  *
- * A disk without room is waited for: what was not synced is taken back and written again until
- * there is room, and meanwhile nothing is reported as durable. Every other failure is final. */
+ * If the disk has no free space, the task discards what was not synced and writes it again
+ * until there is space; meanwhile nothing is reported as durable. Every other failure is
+ * final. */
 #ifndef FL_QUORUM_DISK_H
 #define FL_QUORUM_DISK_H
 
@@ -10,16 +11,18 @@
 
 struct dk_disk;
 
-/* `wake` is called on the disk's thread when dk_done, dk_failed or dk_full has news. */
+/* `wake` is called on the disk thread when the result of dk_done, dk_failed or dk_full may have
+ * changed. */
 struct dk_disk *dk_start(struct so_store *s, void (*wake)(void *ud), void *ud);
 void dk_write(struct dk_disk *d, const struct qr_persist *p);
-/* The highest seq that is durable. */
+/* The highest sequence number (qr_persist.seq) that is durable. */
 uint64_t dk_done(struct dk_disk *d);
-/* Whether the disk has failed; *err says how. Nothing after it became durable. */
+/* Whether a write or sync has failed for good; if so, *err is the failure. Nothing became
+ * durable after it. */
 bool dk_failed(struct dk_disk *d, struct er_err *err);
-/* Whether writes wait for room; *err says what was refused last. */
+/* Whether writes wait for free space; if so, *err is the last failure. */
 bool dk_full(struct dk_disk *d, struct er_err *err);
-/* Syncs done and the microseconds the longest took; for /metrics. */
+/* The number of syncs and the duration of the longest one; for /metrics. */
 void dk_stats(struct dk_disk *d, uint64_t *syncs, int64_t *longest_us);
 void dk_stop(struct dk_disk *d);
 
--- a/quorum/elect.c
+++ b/quorum/elect.c
@@ -1,4 +1,4 @@
-/* Elections: pre-vote, vote, and the roles they lead to. */
+/* Elections: pre-votes, votes and the resulting changes of the role. */
 #include "quorum/core.h"
 
 #include <assert.h>
@@ -15,16 +15,17 @@
     q->deadline = now + q->cfg.election_us + jitter;
 }
 
-/* A start, or a pre-vote that got no majority: nobody leads as far as this node can tell, and
- * asking again changes no term. So the next try comes sooner than after a leader's silence. */
+/* Used after a start or a pre-vote without a majority. This node knows no leader then, and
+ * another pre-vote changes no term, so the next attempt comes sooner than after a leader has
+ * become silent. */
 void qc_reset_timer_short(struct qr *q, int64_t now, int64_t min_delay)
 {
     q->deadline =
         now + min_delay + (int64_t)rn_below(&q->rng, (uint64_t)q->cfg.election_us / 3);
 }
 
-/* A voter that has met no leader since it started asks the others whether they have not either:
- * often, as an election then need not wait. */
+/* A voter that has seen no leader since it started asks the others whether they have seen one.
+ * It does so often: if no voter has, the election need not wait. */
 void qc_reset_timer_cold_start(struct qr *q, int64_t now)
 {
     enum { PARTS = 8 };
@@ -60,8 +61,8 @@
         q->cfg.sink->role(q->cfg.ud);
 }
 
-/* No leader was met since the start, and none can come of an election that is under way here,
- * nor of one that this node would forget. */
+/* Whether this node has seen no leader since it started, and no leader can result from an
+ * election that it is part of: it is no candidate, and its term and vote are on disk. */
 static bool seen_no_leader(const struct qr *q)
 {
     return !q->leader_seen && q->role != QR_CANDIDATE && q->persisted >= q->hard_seq;
@@ -101,7 +102,7 @@
     qc_reset_peers(q, now);
     qc_reset_timer(q, now);
     q->cfg.sink->role(q->cfg.ud);
-    qc_persist_hard(q); /* votes are asked for once this is on disk */
+    qc_persist_hard(q); /* votes are requested once this is on disk */
 }
 
 void qc_start_election(struct qr *q, int64_t now)
@@ -134,7 +135,7 @@
     return m->log_term > lt || (m->log_term == lt && m->index >= qc_last_index(q));
 }
 
-/* Whether a leader was heard too lately to help anybody replace it. */
+/* Whether the last contact with a leader is too recent to grant a vote against it. */
 static bool leader_is_recent(const struct qr *q, int64_t now)
 {
     if (q->role == QR_LEADER)
@@ -144,10 +145,10 @@
     return q->leader && now - q->leader_contact < q->cfg.election_us;
 }
 
-/* ---- a start of all voters ---- */
+/* ---- simultaneous start of all voters ---- */
 
-/* Whether each voter of the configuration before the newest votes in the newest: a leader that
- * was just removed might lead on for a moment, and is not asked. */
+/* Whether each voter of the previous configuration is a voter of the newest one. A leader that
+ * was just removed may still lead for a moment, and no vote is requested from it. */
 static bool no_voter_removed(const struct qr *q)
 {
     const struct qr_members *previous = NULL, *newest = NULL;
@@ -164,8 +165,9 @@
     return true;
 }
 
-/* Of voters that start together one asks for votes: the one with the longest log, of equal ones
- * the lowest in number. */
+/* Of voters that start together only one requests votes: the one with the most up-to-date log,
+ * and of equal ones the one with the lowest id. Returns whether this node precedes the sender.
+ */
 static bool precedes_sender(const struct qr *q, const struct qr_msg *m)
 {
     uint64_t term = qc_last_term(q), index = qc_last_index(q);
@@ -174,7 +176,8 @@
     return index != m->index ? index > m->index : q->cfg.self < m->from;
 }
 
-/* Whether no process that led before is left: docs/design/agreement.md has the argument. */
+/* Whether no process that led before is still running. docs/design/agreement.md has the
+ * argument. */
 static bool no_leader_left(const struct qr *q)
 {
     if (!seen_no_leader(q) || !no_voter_removed(q))
@@ -188,10 +191,12 @@
     return fresh >= (q->cfg.fault.some_fresh ? qc_quorum_size(q) : voters);
 }
 
-/* One that has just started asks: if all have now, this node is the one to ask for votes. */
+/* Handles a pre-vote from a node that has just started. If this node has just started too and
+ * precedes the sender, it starts its own pre-vote soon: if all voters have just started, this
+ * node is the one that requests votes. */
 static void schedule_prevote(struct qr *q, const struct qr_msg *m, int64_t now)
 {
-    enum { PARTS = 16 }; /* of an election's time, between two rounds of questions */
+    enum { PARTS = 16 }; /* rounds of pre-votes are at least election_us / 16 apart */
     bool precedes = m->fresh && seen_no_leader(q) && precedes_sender(q, m);
     int64_t at = q->prevotes_sent + q->cfg.election_us / PARTS;
     if (at < now)
@@ -245,7 +250,7 @@
     q->vote = m->from;
     q->vote_reply_to = m->from;
     qc_reset_timer(q, now);
-    qc_persist_hard(q); /* the answer goes out once this is on disk */
+    qc_persist_hard(q); /* the reply is sent once this is on disk */
 }
 
 void qc_on_vote_reply(struct qr *q, const struct qr_msg *m, int64_t now)
--- a/quorum/follow.c
+++ b/quorum/follow.c
@@ -1,4 +1,4 @@
-/* The follower: taking entries and snapshots, acknowledging what is durable. */
+/* The follower: appends entries, installs snapshots and acknowledges what is durable. */
 #include "quorum/core.h"
 
 #include <assert.h>
@@ -20,7 +20,8 @@
     return q->matched < q->durable ? q->matched : q->durable;
 }
 
-/* Take over what is new in the message; what conflicts with it goes first. */
+/* Appends the entries of the message that are new; entries that conflict with them are removed
+ * first. */
 static void append_entries(struct qr *q, const struct qr_msg *m)
 {
     uint64_t truncate_from = 0, first = 0;
@@ -107,7 +108,8 @@
     q->cfg.sink->restore(q->cfg.ud, m->index, q->snap, q->snap_len);
 }
 
-/* The log agrees with the leader's up to `index`, which is committed. */
+/* Records that the log agrees with the leader's up to `index`, and that `index` is committed.
+ */
 static void mark_agreed(struct qr *q, uint64_t index)
 {
     if (index > q->matched)
@@ -130,8 +132,8 @@
     if (m->index > q->commit && !agrees) {
         install_snapshot(q, m);
     } else {
-        /* The log holds what the snapshot does. What stands behind it stays: it may have been
-         * acknowledged, and committed by that. */
+        /* The log contains all entries of the snapshot. The entries after them are kept: this
+         * node may have acknowledged them, and they may be committed because of that. */
         mark_agreed(q, m->index);
     }
     qc_reply_append(q, m->from, true, qc_acked_index(q), m->round);
--- a/quorum/lead.c
+++ b/quorum/lead.c
@@ -1,4 +1,4 @@
-/* The leader: replication, commit, and the quorum's contact. */
+/* The leader: replication, commit and the last contact with a quorum. */
 #include "quorum/core.h"
 
 #include <assert.h>
@@ -23,8 +23,8 @@
     qc_send(q, &m);
 }
 
-/* How many entries go out together. A probe is repeated until it is answered, so it carries
- * little: heartbeats would stand behind its copies. */
+/* Returns how many entries the next message contains. A probe is repeated until it is answered,
+ * so it is kept small: otherwise heartbeats would queue behind its copies. */
 static uint32_t batch_size(const struct qr *q, const struct peer *p)
 {
     enum { PROBE_BYTES = 1024 };
@@ -114,7 +114,8 @@
     }
 }
 
-/* Sort descending and take what the quorum-th voter has reached. */
+/* Returns the highest value (round or match index) that a quorum of voters has reached: sorts
+ * the values in descending order and takes the one at the quorum size. */
 static uint64_t quorum_value(const struct qr *q, uint64_t own, bool rounds)
 {
     uint64_t v[QR_MAX_MEMBERS];
@@ -146,14 +147,14 @@
         return;
     q->commit = to;
     qc_apply_committed(q);
-    /* A leader that removed itself has done its work once that is committed. */
+    /* A leader that has removed itself steps down once its removal is committed. */
     if (q->role == QR_LEADER && q->members_index <= q->commit && !qc_member(q, q->cfg.self))
         qc_become_follower(q, q->term, 0, now);
     else if (q->role == QR_LEADER)
-        q->next_heartbeat = now; /* tell the others soon */
+        q->next_heartbeat = now; /* send the commit index to the others soon */
 }
 
-/* When the newest round that a quorum has answered was sent; 0 if none. */
+/* Returns when the newest heartbeat round that a quorum answered was sent; 0 if none. */
 int64_t qc_quorum_contact(const struct qr *q)
 {
     uint64_t r = quorum_value(q, q->round, true);
--- a/quorum/log.c
+++ b/quorum/log.c
@@ -1,4 +1,4 @@
-/* The core's log, its disk writes and its members. */
+/* Log, disk writes and members of the consensus core. */
 #include "quorum/core.h"
 
 #include <assert.h>
@@ -16,7 +16,7 @@
     return t;
 }
 
-/* The newest member list at or below the end of the log is the one in force. */
+/* The newest member list in the log is in force, whether it is committed or not. */
 void qc_refresh_members(struct qr *q)
 {
     for (uint32_t i = q->n; i > 0; i--) {
@@ -121,7 +121,7 @@
     return NULL;
 }
 
-/* Make the peers follow the member list, keeping what is known of those that stay. */
+/* Updates the peers to the member list and keeps the state of those that remain. */
 void qc_sync_peers(struct qr *q, int64_t now)
 {
     struct peer next[QR_MAX_MEMBERS];
--- a/quorum/quorum.c
+++ b/quorum/quorum.c
@@ -1,4 +1,4 @@
-/* The core's entry points. */
+/* Public functions of the consensus core. */
 #include "quorum/core.h"
 
 #include <assert.h>
@@ -7,8 +7,8 @@
 
 #include "misc/str.h"
 
-/* Whether so many writes wait for the disk that no event may add more: one adds two at most,
- * and compaction another. */
+/* Whether so many writes wait for the disk that no event may add more: an event adds at most 2,
+ * and a compaction 1 more. */
 static bool disk_queue_full(const struct qr *q)
 {
     enum { SPARE = 8 };
@@ -18,7 +18,7 @@
 void qr_receive(struct qr *q, const struct qr_msg *m, int64_t now)
 {
     if (m->to != q->cfg.self || disk_queue_full(q))
-        return; /* as if lost on the way: its sender sends it again */
+        return; /* handled like a lost message, which the sender sends again */
     switch (m->type) {
     case QR_PREVOTE:
         qc_on_prevote(q, m, now);
@@ -51,7 +51,7 @@
     }
 }
 
-/* ---- time and disk ---- */
+/* ---- ticks and confirmed writes ---- */
 
 void qr_tick(struct qr *q, int64_t now, int64_t received_until)
 {
@@ -132,9 +132,9 @@
     if (!can_lead(q, err))
         return false;
     if (q->members_index > q->commit)
-        return er_set(err, ER_CONFLICT, "a change of members is under way");
+        return er_set(err, ER_CONFLICT, "another member change is in progress");
     if (!qc_term_at(q, q->commit, &t) || t != q->term)
-        return er_set(err, ER_NO_QUORUM, "nothing is committed in this term yet");
+        return er_set(err, ER_NO_QUORUM, "no entry of this term is committed yet");
     qc_append_own(q, QR_MEMBERS, next, sizeof(*next), now);
     return true;
 }
@@ -142,9 +142,9 @@
 bool qr_add_learner(struct qr *q, const struct qr_member *m, int64_t now, struct er_err *err)
 {
     if (qc_member(q, m->id))
-        return er_set(err, ER_CONFLICT, "member %s is there already", m->name);
+        return er_set(err, ER_CONFLICT, "member %s exists already", m->name);
     if (q->members.n >= QR_MAX_MEMBERS)
-        return er_set(err, ER_TOO_LARGE, "%d members are the most", QR_MAX_MEMBERS);
+        return er_set(err, ER_TOO_LARGE, "member list is full (%d members)", QR_MAX_MEMBERS);
     struct qr_members next = q->members;
     next.m[next.n] = *m;
     next.m[next.n].voter = false;
@@ -157,10 +157,10 @@
     struct qr_members next = q->members;
     const struct peer *p = qc_peer(q, id);
     if (!p || !qc_member(q, id))
-        return er_set(err, ER_BAD_INPUT, "no such learner");
-    /* A repair counts only once the new voter holds all that is committed. */
+        return er_set(err, ER_BAD_INPUT, "no learner has this id");
+    /* A new voter restores the fault tolerance only if it has all committed entries. */
     if (p->match < q->commit)
-        return er_set(err, ER_STALE_PLAN, "the learner holds %llu of %llu entries",
+        return er_set(err, ER_STALE_PLAN, "learner is at entry %llu, commit index is %llu",
                       (unsigned long long)p->match, (unsigned long long)q->commit);
     for (uint32_t i = 0; i < next.n; i++) {
         if (next.m[i].id == id)
@@ -177,7 +177,7 @@
             next.m[next.n++] = q->members.m[i];
     }
     if (next.n == q->members.n)
-        return er_set(err, ER_BAD_INPUT, "no such member");
+        return er_set(err, ER_BAD_INPUT, "no member has this id");
     return change_members(q, &next, now, err);
 }
 
@@ -237,7 +237,7 @@
     qc_persist(q, &p);
 }
 
-/* ---- life and reading ---- */
+/* ---- creation and state ---- */
 
 struct qr *qr_create(const struct qr_config *cfg, const struct qr_restore *r, int64_t now)
 {
--- a/quorum/store.c
+++ b/quorum/store.c
@@ -26,9 +26,9 @@
 struct so_store {
     const struct so_files *f;
     char dir[512];
-    int dir_fd, log_fd;
+    int dir_fd, log_fd; /* below 0: not open */
     uint64_t log_bytes;
-    uint64_t synced_bytes;    /* of them, those that are durable */
+    uint64_t synced_bytes;    /* part of log_bytes that is durable */
     struct qr_entry *entries; /* only while loading */
     uint32_t n, cap;
     char *snap;
@@ -71,7 +71,8 @@
         sr_buf_add(out, body->p, body->len);
 }
 
-/* Whether a whole, sound record stands at p. */
+/* Parses the header of the record at p. Returns false if the record is incomplete or its
+ * checksum does not match. */
 static bool parse_record(const unsigned char *p, size_t left, enum rec_type *type, size_t *len)
 {
     if (left < HEADER_BYTES || get_n(p, 4) != MAGIC)
@@ -94,7 +95,7 @@
     snprintf(out, cap, "%s/%s", s->dir, name);
 }
 
-/* A disk without room, a quota or a size limit may change; other failures are for good. */
+/* Free space, a quota or a file size limit may change later; all other failures are final. */
 static enum er_kind disk_error_kind(int error)
 {
     bool full = error == ENOSPC || error == EDQUOT || error == EFBIG;
@@ -112,7 +113,7 @@
             return er_set(err, disk_error_kind(errno), "%s: write failed: %s", what,
                           strerror(errno));
         if (k == 0)
-            return er_set(err, ER_DISK, "%s: write failed: nothing written", what);
+            return er_set(err, ER_DISK, "%s: write failed: 0 bytes written", what);
         p += k;
         n -= (size_t)k;
     }
@@ -138,7 +139,7 @@
     return true;
 }
 
-/* Write a file whole or not at all: a new one, synced, renamed over the old one. */
+/* Replaces a file atomically: writes and syncs a new file, then renames it over the old one. */
 static bool replace_file(struct so_store *s, const char *name, const struct sr_buf *b,
                          struct er_err *err)
 {
@@ -155,7 +156,7 @@
     if (ok && s->f->rename(tmp, to) < 0)
         ok = er_set(err, disk_error_kind(errno), "%s: rename failed: %s", to, strerror(errno));
     if (!ok)
-        unlink(tmp); /* the half of it takes room that the log may need */
+        unlink(tmp); /* the partial file takes space that the log may need */
     if (ok && s->f->sync(s->dir_fd) < 0)
         ok =
             er_set(err, disk_error_kind(errno), "%s: sync failed: %s", s->dir, strerror(errno));
@@ -225,7 +226,7 @@
     return true;
 }
 
-/* After a snapshot the log starts anew with what stands behind it. */
+/* After a snapshot, replaces the log by one that has only the entries after the snapshot. */
 static bool rewrite_log(struct so_store *s, const struct qr_persist *p, struct er_err *err)
 {
     struct sr_buf out = {0};
@@ -268,8 +269,9 @@
     if (s->log_fd < 0 && !open_log(s, err))
         return false;
     if (s->f->set_length(s->log_fd, (off_t)s->synced_bytes) < 0)
-        return er_set(err, disk_error_kind(errno), "log: can't be cut to %" PRIu64 " bytes: %s",
-                      s->synced_bytes, strerror(errno));
+        return er_set(err, disk_error_kind(errno),
+                      "log: can't truncate to %" PRIu64 " bytes: %s", s->synced_bytes,
+                      strerror(errno));
     s->log_bytes = s->synced_bytes;
     return true;
 }
@@ -291,7 +293,7 @@
                        const struct qr_restore *r, struct er_err *err)
 {
     if (len < 20)
-        return er_set(err, ER_CORRUPT, "log: an entry of %zu bytes", len);
+        return er_set(err, ER_CORRUPT, "log: entry of %zu bytes, expected 20 or more", len);
     struct qr_entry e = {get_n(p, 8), get_n(p + 8, 8), (enum qr_entry_type)get_n(p + 16, 4),
                          (uint32_t)(len - 20), NULL};
     if (e.index <= r->snap_index)
@@ -300,8 +302,8 @@
     uint64_t want = s->n ? s->entries[s->n - 1].index + 1 : r->snap_index + 1;
     if (e.index != want || e.type > QR_MEMBERS ||
         (e.type == QR_MEMBERS && e.len != sizeof(struct qr_members)))
-        return er_set(err, ER_CORRUPT, "log: entry %" PRIu64 ", expected %" PRIu64, e.index,
-                      want);
+        return er_set(err, ER_CORRUPT,
+                      "log: invalid entry %" PRIu64 ", expected index %" PRIu64, e.index, want);
     e.data = sr_alloc(e.len);
     memcpy(e.data, p + 20, e.len);
     if (s->n == s->cap) {
@@ -326,10 +328,11 @@
     }
     if (type == REC_ENTRY)
         return load_entry(s, p, len, r, err);
-    return er_set(err, ER_CORRUPT, "log: record of type %d and %zu bytes", (int)type, len);
+    return er_set(err, ER_CORRUPT, "log: invalid record of type %d, %zu bytes", (int)type, len);
 }
 
-/* Whether a sound record stands anywhere behind `off`: then what is at `off` isn't a tail. */
+/* Whether a valid record begins anywhere after `off`. If so, the invalid data at `off` is not
+ * an incomplete record at the end of the file. */
 static bool has_valid_record_after(const unsigned char *p, size_t n, size_t off)
 {
     enum rec_type t;
@@ -361,10 +364,11 @@
         off += HEADER_BYTES + len;
     }
     if (ok && off < b.len && has_valid_record_after(p, b.len, off))
-        ok = er_set(err, ER_CORRUPT,
-                    "%s: bad record at byte %zu with sound ones behind it; this voter must be "
-                    "replaced (ferryctl plan replace), its folder kept for inspection",
-                    path, off);
+        ok =
+            er_set(err, ER_CORRUPT,
+                   "%s: invalid record at byte %zu, valid records after it; replace this voter "
+                   "(ferryctl plan replace) and keep its folder for inspection",
+                   path, off);
     if (ok && off < b.len) {
         out->torn_bytes = b.len - off;
         if (truncate(path, (off_t)off) < 0)
@@ -406,7 +410,7 @@
     return ok;
 }
 
-/* The identity file: cluster, a line feed, the id in hexadecimal. */
+/* Format of the identity file: the cluster name, a line feed, the id in hexadecimal. */
 static bool load_identity(struct so_store *s, const char *cluster, uint64_t wanted,
                           struct so_loaded *out, struct er_err *err)
 {
@@ -419,9 +423,9 @@
         bool ok = sscanf(b.p ? b.p : "", "%127[^\n]\n%" SCNx64, stored, &out->identity) == 2;
         sr_buf_free(&b);
         if (!ok)
-            return er_set(err, ER_CORRUPT, "%s: unreadable; replace this voter", path);
+            return er_set(err, ER_CORRUPT, "%s: invalid content; replace this voter", path);
         if (strcmp(stored, cluster) != 0)
-            return er_set(err, ER_VERSION, "%s: made for cluster '%s', settings say '%s'",
+            return er_set(err, ER_VERSION, "%s: belongs to cluster '%s', settings name '%s'",
                           s->dir, stored, cluster);
         return true;
     }
