--- a/limit/giver.c
+++ b/limit/giver.c
@@ -6,12 +6,12 @@
 #include "limit/limit.h"
 #include "misc/str.h"
 
-enum { FIRST = 16 };
+enum { INITIAL_CAPACITY = 16 };
 
 /* The depth takes the whole burst and the tolerance, less a fifth for operations that wait at a
  * node before they reach an instance: at most 70 % of their aim, 0.2 s at the users', a
  * twenty-fifth of the window. */
-#define TOLERANCE_PART 0.8
+#define DEPTH_TOLERANCE_PART 0.8
 /* An account that has used all it may for a whole window, so that no more than this part of the
  * depth was unused in it, gets the rest of the depth as flow: in a window that is as much, and
  * what asks for more than its rate for long is served up to a third more. */
@@ -27,8 +27,8 @@
 {
     lm_free(g);
     g->tolerance = *t;
-    g->since = now;
-    g->quiet_until = first ? now : now + with_drift(LM_LIFE_US);
+    g->leader_since = now;
+    g->earlier_permits_until = first ? now : now + with_drift(LM_LIFE_US);
 }
 
 void lm_free(struct lm_giver *g)
@@ -59,14 +59,14 @@
 }
 
 /* A place for the node's lease; that of one that ran out, if there is any. */
-static struct lm_lease *new_lease(struct lm_giver *g, int64_t now)
+static struct lm_lease *alloc_lease(struct lm_giver *g, int64_t now)
 {
     for (int i = 0; i < g->n_leases; i++) {
         if (now >= g->leases[i].until)
             return &g->leases[i];
     }
     if (g->n_leases == g->cap_leases) {
-        g->cap_leases = g->cap_leases ? g->cap_leases * 2 : FIRST;
+        g->cap_leases = g->cap_leases ? g->cap_leases * 2 : INITIAL_CAPACITY;
         g->leases = sr_realloc(g->leases, sizeof(*g->leases) * (size_t)g->cap_leases);
     }
     return &g->leases[g->n_leases++];
@@ -76,39 +76,39 @@
 {
     struct lm_lease *l = lease_of(g, node);
     if (!l)
-        l = new_lease(g, now);
+        l = alloc_lease(g, now);
     *l = (struct lm_lease){node, stays ? now + with_drift(LM_LIFE_US) : now};
 }
 
 /* ---- the bucket ---- */
 
-static double whole_depth(const struct lm_giver *g, const struct lm_account *a)
+static double full_depth(const struct lm_giver *g, const struct lm_account *a)
 {
     const struct lm_tolerance *t = &g->tolerance;
     double tolerated = (a->rate * t->window_s + a->burst) * t->overrun + t->slack;
-    return fmax(a->burst + tolerated * TOLERANCE_PART, 1);
+    return fmax(a->burst + tolerated * DEPTH_TOLERANCE_PART, 1);
 }
 
 static bool is_scarce(const struct lm_giver *g, const struct lm_account *a, int64_t now)
 {
-    return (double)(now - a->plenty_at) >= g->tolerance.window_s * 1e6;
+    return (double)(now - a->last_plentiful) >= g->tolerance.window_s * 1e6;
 }
 
 /* Permits that may be unused, in the bucket and out. */
 static double depth(const struct lm_giver *g, const struct lm_account *a, int64_t now)
 {
-    return whole_depth(g, a) * (is_scarce(g, a, now) ? SCARCE_PART : 1);
+    return full_depth(g, a) * (is_scarce(g, a, now) ? SCARCE_PART : 1);
 }
 
 /* Permits a second. */
-static double flow(const struct lm_giver *g, const struct lm_account *a, int64_t now)
+static double refill_rate(const struct lm_giver *g, const struct lm_account *a, int64_t now)
 {
-    double more = whole_depth(g, a) * (1 - SCARCE_PART) / g->tolerance.window_s;
+    double more = full_depth(g, a) * (1 - SCARCE_PART) / g->tolerance.window_s;
     return a->rate + (is_scarce(g, a, now) ? more : 0);
 }
 
 /* Permits that are out; of nodes that did not renew nothing is left. */
-static double out_now(const struct lm_giver *g, struct lm_account *a, int64_t now)
+static double outstanding_now(const struct lm_giver *g, struct lm_account *a, int64_t now)
 {
     double sum = 0;
     for (int i = 0; i < a->n; i++) {
@@ -116,7 +116,7 @@
         if (!l || now >= l->until)
             a->holders[i--] = a->holders[--a->n];
         else
-            sum += a->holders[i].out;
+            sum += a->holders[i].outstanding;
     }
     return sum;
 }
@@ -124,13 +124,13 @@
 /* Unused permits of this leader's own, in the bucket and out, while those of earlier leaders
  * may be out. It grows so that in all the time that those live it is what they leave of the
  * depth, however many leaders share that time. */
-static double quiet_most(const struct lm_giver *g, const struct lm_account *a, int64_t now)
+static double startup_bound(const struct lm_giver *g, const struct lm_account *a, int64_t now)
 {
-    double left = whole_depth(g, a) * (1 - LM_OUT_PART);
-    return left * (double)(now - g->since) / (double)with_drift(LM_LIFE_US);
+    double left = full_depth(g, a) * (1 - LM_OUT_PART);
+    return left * (double)(now - g->leader_since) / (double)with_drift(LM_LIFE_US);
 }
 
-static double own_out(const struct lm_account *a)
+static double own_outstanding(const struct lm_account *a)
 {
     double sum = 0;
     for (int i = 0; i < a->n; i++)
@@ -140,26 +140,28 @@
 
 /* The bucket has room for what is not out: a permit that nobody used yet is either here or
  * there. */
-static double room(const struct lm_giver *g, struct lm_account *a, double out, int64_t now)
+static double bucket_room(const struct lm_giver *g, struct lm_account *a, double out,
+                          int64_t now)
 {
     double all = depth(g, a, a->at) - out;
-    double quiet = now < g->quiet_until ? quiet_most(g, a, now) - own_out(a) : all;
-    return fmax(fmin(all, quiet), 0);
+    double startup =
+        now < g->earlier_permits_until ? startup_bound(g, a, now) - own_outstanding(a) : all;
+    return fmax(fmin(all, startup), 0);
 }
 
 /* Returns how many are out. */
-static double fill(const struct lm_giver *g, struct lm_account *a, int64_t now)
+static double refill(const struct lm_giver *g, struct lm_account *a, int64_t now)
 {
-    double out = out_now(g, a, now);
-    double flowed = flow(g, a, a->at) * (double)(now - a->at) / 1e6;
+    double out = outstanding_now(g, a, now);
+    double refilled = refill_rate(g, a, a->at) * (double)(now - a->at) / 1e6;
     bool scarce = is_scarce(g, a, a->at);
-    a->level = fmin(room(g, a, out, now), a->level + flowed);
+    a->level = fmin(bucket_room(g, a, out, now), a->level + refilled);
     a->at = now;
     /* Scarce, it is so until its bucket is full. */
-    double few = whole_depth(g, a) * SCARCE_PART;
-    bool plenty = scarce ? a->level + out >= few : a->level + out > few;
-    if (plenty || now < g->quiet_until)
-        a->plenty_at = now;
+    double scarce_level = full_depth(g, a) * SCARCE_PART;
+    bool plenty = scarce ? a->level + out >= scarce_level : a->level + out > scarce_level;
+    if (plenty || now < g->earlier_permits_until)
+        a->last_plentiful = now;
     return out;
 }
 
@@ -168,27 +170,27 @@
     struct lm_account *a = find(g, name);
     if (!a) {
         if (g->n == g->cap) {
-            g->cap = g->cap ? g->cap * 2 : FIRST;
+            g->cap = g->cap ? g->cap * 2 : INITIAL_CAPACITY;
             g->accounts = sr_realloc(g->accounts, sizeof(*g->accounts) * (size_t)g->cap);
         }
         ix_set(&g->by_name, name, g->n);
         a = &g->accounts[g->n++];
-        *a = (struct lm_account){.at = now, .plenty_at = now};
+        *a = (struct lm_account){.at = now, .last_plentiful = now};
         sr_copy(a->name, sizeof(a->name), sr_from(name));
     }
-    fill(g, a, now);
+    refill(g, a, now);
     a->rate = rate;
     a->burst = burst;
-    fill(g, a, now);
-    a->seen = true;
+    refill(g, a, now);
+    a->set_since_sweep = true;
 }
 
 void lm_sweep(struct lm_giver *g)
 {
     for (int i = 0; i < g->n; i++) {
         struct lm_account *a = &g->accounts[i];
-        if (a->seen) {
-            a->seen = false;
+        if (a->set_since_sweep) {
+            a->set_since_sweep = false;
             continue;
         }
         free(a->holders);
@@ -205,7 +207,7 @@
 double lm_out(const struct lm_giver *g, const char *name, int64_t now)
 {
     struct lm_account *a = find(g, name);
-    return a ? out_now(g, a, now) : 0;
+    return a ? outstanding_now(g, a, now) : 0;
 }
 
 static struct lm_holder *holder_of(struct lm_account *a, uint64_t node)
@@ -215,51 +217,52 @@
             return &a->holders[i];
     }
     if (a->n == a->cap) {
-        a->cap = a->cap ? a->cap * 2 : FIRST;
+        a->cap = a->cap ? a->cap * 2 : INITIAL_CAPACITY;
         a->holders = sr_realloc(a->holders, sizeof(*a->holders) * (size_t)a->cap);
     }
     a->holders[a->n] = (struct lm_holder){.node = node};
     return &a->holders[a->n++];
 }
 
-static void give(struct lm_giver *g, struct lm_account *a, struct lm_holder *h, double is_out,
-                 double need, uint64_t seq, int64_t now, struct lm_answer *out)
+static void grant(struct lm_giver *g, struct lm_account *a, struct lm_holder *h,
+                  double outstanding, double need, uint64_t seq, int64_t now,
+                  struct lm_answer *out)
 {
     if (need < 1)
         return;
-    double most = depth(g, a, now);
-    double more = floor(most * LM_STOCK_PART - is_out);
-    if (more < 1 && is_out + 1 <= most * LM_OUT_PART)
+    double max_unused = depth(g, a, now);
+    double more = floor(max_unused * LM_STOCK_PART - outstanding);
+    if (more < 1 && outstanding + 1 <= max_unused * LM_OUT_PART)
         more = 1;
     double k = fmin(floor(need), fmin(floor(a->level), fmax(more, 0)));
     if (k >= 1) {
         a->level -= k;
-        h->out += k;
-        h->own += now < g->quiet_until ? k : 0;
-        h->told = seq;
+        h->outstanding += k;
+        h->own += now < g->earlier_permits_until ? k : 0;
+        h->grant_seq = seq;
         out->given = (int)k;
     } else if (a->level < 1) {
-        double per_s = flow(g, a, now);
+        double per_s = refill_rate(g, a, now);
         out->over_us = per_s > 0 ? (int64_t)((1 - a->level) / per_s * 1e6) + 1 : CK_SEC(1);
     }
 }
 
 bool lm_ask(struct lm_giver *g, const char *name, uint64_t node, const struct lm_report *r,
-            uint64_t has, uint64_t seq, int64_t now, struct lm_answer *out)
+            uint64_t applied_seq, uint64_t seq, int64_t now, struct lm_answer *out)
 {
     struct lm_account *a = find(g, name);
     *out = (struct lm_answer){0};
     if (!a)
         return false;
-    out_now(g, a, now); /* what has ended goes first: others' places change with it */
+    outstanding_now(g, a, now); /* what has ended goes first: others' places change with it */
     struct lm_holder *h = holder_of(a, node);
     /* Permits that are on their way to it count until it has told of them. */
-    if (has >= h->told || r->held > h->out)
-        h->out = r->held;
-    if (has >= h->told)
+    if (applied_seq >= h->grant_seq || r->held > h->outstanding)
+        h->outstanding = r->held;
+    if (applied_seq >= h->grant_seq)
         h->own = fmin(h->own, r->held);
     a->level += r->returned;
-    double is_out = fill(g, a, now);
-    give(g, a, h, is_out, r->want - h->out, seq, now, out);
+    double outstanding = refill(g, a, now);
+    grant(g, a, h, outstanding, r->want - h->outstanding, seq, now, out);
     return true;
 }
--- a/limit/limit.h
+++ b/limit/limit.h
@@ -48,9 +48,9 @@
 /* A node with permits of an account. */
 struct lm_holder {
     uint64_t node;
-    double out;    /* permits it may have, at most */
-    double own;    /* of them, those that this leader gave while earlier ones' might be out */
-    uint64_t told; /* number of the message that gave it the last ones */
+    double outstanding; /* permits it may have, at most */
+    double own; /* of them, those that this leader gave while earlier ones' might be out */
+    uint64_t grant_seq; /* number of the message that gave it the last ones */
 };
 
 struct lm_account {
@@ -58,8 +58,8 @@
     double rate, burst;
     double level; /* permits in the bucket, at `at` */
     int64_t at;
-    int64_t plenty_at; /* when more than a part of the depth was unused last */
-    bool seen;         /* by lm_set, since lm_sweep */
+    int64_t last_plentiful; /* when more than a part of the depth was unused last */
+    bool set_since_sweep;   /* by lm_set, since lm_sweep */
     int n, cap;
     struct lm_holder *holders;
 };
@@ -71,8 +71,8 @@
 
 struct lm_giver {
     struct lm_tolerance tolerance;
-    int64_t since;       /* it leads */
-    int64_t quiet_until; /* permits of earlier leaders may be out until then */
+    int64_t leader_since;          /* it leads */
+    int64_t earlier_permits_until; /* permits of earlier leaders may be out until then */
     int n, cap;
     struct lm_account *accounts;
     struct ix_index by_name; /* numbers in `accounts` */
@@ -108,7 +108,7 @@
 /* Take a report of a node that has applied message `has`, and answer in message `seq`. False:
  * the account has no limit. */
 bool lm_ask(struct lm_giver *g, const char *name, uint64_t node, const struct lm_report *r,
-            uint64_t has, uint64_t seq, int64_t now, struct lm_answer *out);
+            uint64_t applied_seq, uint64_t seq, int64_t now, struct lm_answer *out);
 /* Permits of the account that may be out, at most. */
 double lm_out(const struct lm_giver *g, const char *name, int64_t now);
 
@@ -125,9 +125,9 @@
 
 /* How much of a class is asked for, whether or not it gets a permit. */
 struct lm_asked {
-    double pace; /* operations a second, smoothed */
-    int64_t at;  /* of the last one */
-    int passed;  /* that were refused since the last permit */
+    double rate;   /* operations a second, smoothed */
+    int64_t at;    /* of the last one */
+    int n_refused; /* that were refused since the last permit */
 };
 
 /* An account's permits at a node. Zero-initialised is empty, and the leader knows that.
@@ -137,15 +137,15 @@
  * scarce a class leaves those permits that the classes before it will ask for in a moment. */
 struct lm_stock {
     int held;    /* below 0: attempts that ran without one */
-    double pace; /* operations a second, smoothed */
+    double rate; /* operations a second, smoothed */
     int64_t at;  /* of the last operation */
     int waiting; /* operations that asked in vain since the last answer */
     int64_t over_until;
-    int lacked;           /* permits asked for with the last renewal that told of the account */
+    int n_requested;      /* permits asked for with the last renewal that told of the account */
     int64_t scarce_until; /* far fewer came than were asked for, lately */
-    struct lm_asked asked[LM_CLASSES];
-    int believed; /* what the leader takes it to hold, as far as is known here; below 0: the
-                     leader knows nothing of this node */
+    struct lm_asked demand[LM_CLASSES];
+    int reported_held; /* what the leader takes it to hold, as far as is known here; below 0:
+                     the leader knows nothing of this node */
 };
 
 /* An operation begins. A permit that was taken is used, also if the operation is sent nowhere
--- a/limit/stock.c
+++ b/limit/stock.c
@@ -11,7 +11,7 @@
 #define SMOOTH_S 1.0 /* the pace follows over so long */
 /* Permits are kept for classes that go first for so long ahead: a renewal's pause. */
 #define AHEAD_S 0.2
-#define IDLE_PART                                                                              \
+#define IDLE_OPERATIONS                                                                        \
     0.1 /* of an operation in that time: a class that is asked for less is idle                \
          */
 
@@ -19,33 +19,33 @@
     SCARCE_US = 1000000, /* an account counts as over its limit so long after it was */
     /* What is refused while permits are kept for others comes back after a renewal or two. */
     SCARCE_RETRY_US = 300000,
-    MOST_PASSED = 12, /* refusals of a class until it takes a permit that is kept for others */
+    MAX_REFUSALS = 12, /* refusals of a class until it takes a permit that is kept for others */
     SHORT_PAUSE_US = 100000, /* until the next permit; what goes first waits for it */
 };
 
 /* The pace as it has fallen since the last operation. */
-static double pace_now(const struct lm_stock *s, int64_t now)
+static double rate_now(const struct lm_stock *s, int64_t now)
 {
     double dt = (double)(now - s->at) / 1e6;
-    return s->pace * exp(-dt / SMOOTH_S);
+    return s->rate * exp(-dt / SMOOTH_S);
 }
 
-static void note(struct lm_stock *s, int64_t now)
+static void note_operation(struct lm_stock *s, int64_t now)
 {
-    s->pace = pace_now(s, now) + 1 / SMOOTH_S;
+    s->rate = rate_now(s, now) + 1 / SMOOTH_S;
     s->at = now;
 }
 
 /* ---- classes ---- */
 
-static double asked_now(const struct lm_asked *a, int64_t now)
+static double demand_now(const struct lm_asked *a, int64_t now)
 {
-    return a->pace * exp(-(double)(now - a->at) / 1e6 / SMOOTH_S);
+    return a->rate * exp(-(double)(now - a->at) / 1e6 / SMOOTH_S);
 }
 
-static void note_asked(struct lm_asked *a, int64_t now)
+static void note_demand(struct lm_asked *a, int64_t now)
 {
-    a->pace = asked_now(a, now) + 1 / SMOOTH_S;
+    a->rate = demand_now(a, now) + 1 / SMOOTH_S;
     a->at = now;
 }
 
@@ -55,35 +55,35 @@
 }
 
 /* Permits that the classes before this one ask for until the next renewal's have come. */
-static double kept_for_others(const struct lm_stock *s, int class, int64_t now)
+static double reserved_for_others(const struct lm_stock *s, int class, int64_t now)
 {
     double sum = 0;
-    if (s->asked[class].passed >= MOST_PASSED)
+    if (s->demand[class].n_refused >= MAX_REFUSALS)
         return 0; /* no class starves */
     for (int i = 0; i < class && now < s->scarce_until; i++)
-        sum += asked_now(&s->asked[i], now) * AHEAD_S;
+        sum += demand_now(&s->demand[i], now) * AHEAD_S;
     return sum;
 }
 
 /* Whether permits are kept for this class: none before it is asked for, one after it is. */
-static bool goes_first(const struct lm_stock *s, int class, int64_t now)
+static bool is_first_class(const struct lm_stock *s, int class, int64_t now)
 {
     bool later = false;
     for (int i = 0; i < LM_CLASSES; i++) {
-        bool asked = asked_now(&s->asked[i], now) * AHEAD_S > IDLE_PART;
-        if (asked && i < class)
+        bool active = demand_now(&s->demand[i], now) * AHEAD_S > IDLE_OPERATIONS;
+        if (active && i < class)
             return false;
-        later = later || (asked && i > class);
+        later = later || (active && i > class);
     }
     return later;
 }
 
 /* It has none: whether it waits for the next permits, or is refused. What is served first waits
  * through a short pause, as the next ones are kept for it. */
-static enum lm_verdict without(struct lm_stock *s, int class, int64_t now)
+static enum lm_verdict verdict_without_permit(struct lm_stock *s, int class, int64_t now)
 {
     bool pause = now < s->over_until;
-    if (pause && (s->over_until - now > SHORT_PAUSE_US || !goes_first(s, class, now)))
+    if (pause && (s->over_until - now > SHORT_PAUSE_US || !is_first_class(s, class, now)))
         return LM_OVER;
     if (!pause)
         s->waiting++;
@@ -93,16 +93,16 @@
 enum lm_verdict lm_take(struct lm_stock *s, int priority, int64_t now)
 {
     int class = class_of(priority);
-    double kept = kept_for_others(s, class, now);
-    note_asked(&s->asked[class], now);
-    if (s->held > kept) {
+    double reserved = reserved_for_others(s, class, now);
+    note_demand(&s->demand[class], now);
+    if (s->held > reserved) {
         s->held--;
-        s->asked[class].passed = 0;
-        note(s, now);
+        s->demand[class].n_refused = 0;
+        note_operation(s, now);
         return LM_GO;
     }
-    enum lm_verdict v = s->held > 0 ? LM_OVER : without(s, class, now);
-    s->asked[class].passed += v == LM_OVER;
+    enum lm_verdict v = s->held > 0 ? LM_OVER : verdict_without_permit(s, class, now);
+    s->demand[class].n_refused += v == LM_OVER;
     return v;
 }
 
@@ -117,19 +117,19 @@
     s->held--;
 }
 
-static int wanted(const struct lm_stock *s, int64_t now)
+static int target_size(const struct lm_stock *s, int64_t now)
 {
-    return (int)(pace_now(s, now) * COVER_S + 0.5) + s->waiting;
+    return (int)(rate_now(s, now) * COVER_S + 0.5) + s->waiting;
 }
 
 /* What was used is told with the next renewal: permits that the leader takes to be out keep it
  * from giving others. */
 bool lm_wants(struct lm_stock *s, int64_t now, struct lm_report *out)
 {
-    int want = wanted(s, now), held = s->held > 0 ? s->held : 0;
+    int want = target_size(s, now), held = s->held > 0 ? s->held : 0;
     bool low = s->held < want && held * 2 <= want;
     bool high = held > want * 2;
-    if (!low && !high && s->believed == held)
+    if (!low && !high && s->reported_held == held)
         return false;
     *out = (struct lm_report){.held = held, .want = want};
     if (s->held < 0)
@@ -138,20 +138,20 @@
         out->returned = held - want;
         out->held = s->held = want;
     }
-    s->believed = out->held;
-    s->lacked = out->want > out->held ? out->want - out->held : 0;
+    s->reported_held = out->held;
+    s->n_requested = out->want > out->held ? out->want - out->held : 0;
     return true;
 }
 
 void lm_answered(struct lm_stock *s, const struct lm_answer *a, int64_t now)
 {
     s->held += a->given;
-    s->believed += a->given;
+    s->reported_held += a->given;
     s->waiting = 0;
     s->over_until = a->over_us ? now + a->over_us : 0;
-    if (a->over_us || a->given * 2 < s->lacked)
+    if (a->over_us || a->given * 2 < s->n_requested)
         s->scarce_until = now + SCARCE_US;
-    s->lacked = 0;
+    s->n_requested = 0;
 }
 
 void lm_void(struct lm_stock *s)
@@ -162,5 +162,5 @@
 
 void lm_tell_anew(struct lm_stock *s)
 {
-    s->believed = -1;
+    s->reported_held = -1;
 }
--- a/tests/unit/test_limit.c
+++ b/tests/unit/test_limit.c
@@ -135,10 +135,10 @@
 static bool hoard(struct lm_stock *s, struct lm_report *r)
 {
     int held = s->held > 0 ? s->held : 0;
-    if (s->held >= HOARD && s->believed == held)
+    if (s->held >= HOARD && s->reported_held == held)
         return false;
     *r = (struct lm_report){.held = held, .want = HOARD};
-    s->believed = held;
+    s->reported_held = held;
     return true;
 }
 
