--- a/limit/giver.c
+++ b/limit/giver.c
@@ -1,4 +1,4 @@
-/* The leader's side of limits. */
+/* The permit allocator: the leader's side of limits. */
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,16 +8,18 @@
 
 enum { INITIAL_CAPACITY = 16 };
 
-/* The depth takes the whole burst and the tolerance, less a fifth for operations that wait at a
- * node before they reach an instance: at most 70 % of their aim, 0.2 s at the users', a
- * twenty-fifth of the window. */
+/* The depth contains the whole burst and four fifths of the tolerance. The other fifth is for
+ * operations that wait at a node before they reach an instance: this wait is
+ * at most 70 % of their target latency, which is 0.2 s with the targets that users set, or 1/25
+ * of the window. */
 #define DEPTH_TOLERANCE_PART 0.8
-/* An account that has used all it may for a whole window, so that no more than this part of the
- * depth was unused in it, gets the rest of the depth as flow: in a window that is as much, and
- * what asks for more than its rate for long is served up to a third more. */
+/* If an account used so many permits for a whole window that no more than this part of the
+ * depth was unused, the rest of the depth is added to the refill rate instead. The sum over a
+ * window is the same, and an account that requests more than its rate for a long time is served
+ * up to a third more. */
 #define SCARCE_PART 0.25
 
-/* Clocks of different VMs tick alike, but not exactly. */
+/* Adds 10 %, because the clocks of VMs do not run at exactly the same speed. */
 static int64_t with_drift(int64_t us)
 {
     return us * 11 / 10;
@@ -58,7 +60,7 @@
     return NULL;
 }
 
-/* A place for the node's lease; that of one that ran out, if there is any. */
+/* Returns a slot for a new lease: the slot of an expired lease, if there is one. */
 static struct lm_lease *alloc_lease(struct lm_giver *g, int64_t now)
 {
     for (int i = 0; i < g->n_leases; i++) {
@@ -94,20 +96,20 @@
     return (double)(now - a->last_plentiful) >= g->tolerance.window_s * 1e6;
 }
 
-/* Permits that may be unused, in the bucket and out. */
+/* Upper bound of the unused permits, in the bucket and outstanding. */
 static double depth(const struct lm_giver *g, const struct lm_account *a, int64_t now)
 {
     return full_depth(g, a) * (is_scarce(g, a, now) ? SCARCE_PART : 1);
 }
 
-/* Permits a second. */
+/* Permits per second. */
 static double refill_rate(const struct lm_giver *g, const struct lm_account *a, int64_t now)
 {
     double more = full_depth(g, a) * (1 - SCARCE_PART) / g->tolerance.window_s;
     return a->rate + (is_scarce(g, a, now) ? more : 0);
 }
 
-/* Permits that are out; of nodes that did not renew nothing is left. */
+/* Removes the holders whose lease has expired and returns the outstanding permits. */
 static double outstanding_now(const struct lm_giver *g, struct lm_account *a, int64_t now)
 {
     double sum = 0;
@@ -121,9 +123,11 @@
     return sum;
 }
 
-/* Unused permits of this leader's own, in the bucket and out, while those of earlier leaders
- * may be out. It grows so that in all the time that those live it is what they leave of the
- * depth, however many leaders share that time. */
+/* Upper bound of the unused permits of this leader, in the bucket and outstanding, while
+ * permits of earlier leaders may be valid. The bound grows in proportion to the time of the
+ * leadership, and over the lifetime of a permit it grows to the part of the depth that the
+ * earlier permits leave. So the bounds of several leaders that share that time add up to no
+ * more than that part. */
 static double startup_bound(const struct lm_giver *g, const struct lm_account *a, int64_t now)
 {
     double left = full_depth(g, a) * (1 - LM_OUT_PART);
@@ -138,8 +142,8 @@
     return sum;
 }
 
-/* The bucket has room for what is not out: a permit that nobody used yet is either here or
- * there. */
+/* Returns how many permits the bucket may hold: an unused permit is either in the bucket or
+ * outstanding, and both together are bounded. */
 static double bucket_room(const struct lm_giver *g, struct lm_account *a, double out,
                           int64_t now)
 {
@@ -149,7 +153,7 @@
     return fmax(fmin(all, startup), 0);
 }
 
-/* Returns how many are out. */
+/* Refills the bucket up to the time `now`. Returns the outstanding permits. */
 static double refill(const struct lm_giver *g, struct lm_account *a, int64_t now)
 {
     double out = outstanding_now(g, a, now);
@@ -157,7 +161,7 @@
     bool scarce = is_scarce(g, a, a->at);
     a->level = fmin(bucket_room(g, a, out, now), a->level + refilled);
     a->at = now;
-    /* Scarce, it is so until its bucket is full. */
+    /* An account whose permits are scarce stays so until its bucket is full. */
     double scarce_level = full_depth(g, a) * SCARCE_PART;
     bool plenty = scarce ? a->level + out >= scarce_level : a->level + out > scarce_level;
     if (plenty || now < g->earlier_permits_until)
@@ -202,7 +206,7 @@
     }
 }
 
-/* ---- permits that are out ---- */
+/* ---- outstanding permits ---- */
 
 double lm_out(const struct lm_giver *g, const char *name, int64_t now)
 {
@@ -254,9 +258,11 @@
     *out = (struct lm_answer){0};
     if (!a)
         return false;
-    outstanding_now(g, a, now); /* what has ended goes first: others' places change with it */
+    /* Removes expired holders first, since that moves the others in the array. */
+    outstanding_now(g, a, now);
     struct lm_holder *h = holder_of(a, node);
-    /* Permits that are on their way to it count until it has told of them. */
+    /* Permits in a message that the node has not applied yet count as outstanding until
+     * the node reports them. */
     if (applied_seq >= h->grant_seq || r->held > h->outstanding)
         h->outstanding = r->held;
     if (applied_seq >= h->grant_seq)
--- a/limit/limit.h
+++ b/limit/limit.h
@@ -1,18 +1,24 @@
-/* Limits of client accounts: operations a second and a burst, over all nodes together.
+/* Limits of client accounts: operations per second and a burst, over all nodes together.
  *
- * Pure. The control leader gives out permits, one for each operation, to the nodes where an
- * account's operations begin; a node keeps a few at hand, so that an operation waits for none
- * in calm times. docs/design/accounts.md has the argument; in short:
+ * Pure: no input, output or clock. The control leader grants permits, one for each operation,
+ * to the nodes where an account's operations begin. A node keeps a small pool of permits, so
+ * that operations below the limit need not wait for one. docs/design/accounts.md has the
+ * complete argument; in short:
  *
- * - Permits that nobody used yet are in the bucket or out. Together they are at most its depth,
- *   and new ones come at a steady flow. Those that are out are counted until their holder
- *   reports them used, or has not renewed them for LM_LIFE_US: then they end.
- * - A new leader knows nothing of permits of the ones before: at most `LM_OUT_PART` of the
- *   depth. Until those have ended its bucket, empty at first, fills at the account's rate, but
- *   what of its own permits is unused grows so slowly that all of it and of whoever led for a
- *   moment before it is no more than the rest of the depth. Those reported used make room.
- * - So the operations that begin in any window are at most depth + flow x window, and these are
- *   such that it is rate x window + burst and four fifths of the tolerance. */
+ * - Permits that are not used yet are either in the account's bucket at the leader or
+ *   outstanding, at nodes. Together they are at most the depth of the bucket, and new permits
+ *   are added at a steady refill rate. An outstanding permit is counted until its holder
+ *   reports it as used, or until the holder has not renewed it for LM_LIFE_US: then the permit
+ *   expires.
+ * - A new leader does not know the permits that earlier leaders granted. They are at most
+ *   LM_OUT_PART of the depth. Until they have expired, the bucket, which is empty at first,
+ *   fills at the account's rate, but the bound on the unused permits of the new leader grows so
+ *   slowly that these, together with those of any leader that led for a moment before it, are
+ *   never more than the rest of the depth. Permits that are reported as used make room for
+ *   others.
+ * - So the operations that begin in any window are at most depth + refill rate x window. Depth
+ *   and refill rate are chosen so that this is rate x window + burst + four fifths of the
+ *   tolerance. */
 #ifndef FL_LIMIT_LIMIT_H
 #define FL_LIMIT_LIMIT_H
 
@@ -24,18 +30,20 @@
 
 enum {
     LM_NAME = IX_NAME,
-    LM_MOST = 1000000, /* permits that one message may name */
-    /* Permits end so long after the renewal that was answered last. Origin: the platform's
-     * lease; a leader that is lost is replaced within 0.4 s, a control VM is back after 1.2
-     * to 1.5 s, and what begins meanwhile begins with permits that are there. */
+    LM_MOST = 1000000, /* maximum number of permits in a message */
+    /* Permits expire this long after the last renewal that was answered. It is the duration of
+     * the platform's lease. A lost leader is replaced within 0.4 s and a control VM is back
+     * after 1.2 to 1.5 s; operations that begin in the meantime use permits that their node
+     * has. */
     LM_LIFE_US = 1200000,
 };
-/* Of the depth, what may be out; and up to which a node is given as many as it wants, while
- * beyond it each answer has one, for an operation that waits. */
+/* Part of the depth that may be outstanding at most. */
 #define LM_OUT_PART 0.55
+/* While less than this part of the depth is outstanding, a node gets as many permits as it
+ * wants. Above it each grant is one permit, for an operation that waits. */
 #define LM_STOCK_PART 0.45
 
-/* How exactly limits are to be kept: in any window the operations of an account are at most
+/* How exactly limits are kept: in any window the operations of an account are at most
  * (rate x window + burst) x (1 + overrun) + slack. */
 struct lm_tolerance {
     double window_s;
@@ -43,27 +51,28 @@
     double slack; /* operations */
 };
 
-/* ---- giver: the leader ---- */
+/* ---- allocator: the leader ---- */
 
 /* A node with permits of an account. */
 struct lm_holder {
     uint64_t node;
-    double outstanding; /* permits it may have, at most */
-    double own; /* of them, those that this leader gave while earlier ones' might be out */
-    uint64_t grant_seq; /* number of the message that gave it the last ones */
+    double outstanding; /* upper bound of the permits that the node has */
+    double own;         /* part of them that this leader granted before earlier_permits_until */
+    uint64_t grant_seq; /* number of the message with the last grant */
 };
 
 struct lm_account {
     char name[LM_NAME];
-    double rate, burst;
-    double level; /* permits in the bucket, at `at` */
+    double rate, burst; /* operations per second, operations */
+    double level;       /* permits in the bucket at the time `at` */
     int64_t at;
-    int64_t last_plentiful; /* when more than a part of the depth was unused last */
-    bool set_since_sweep;   /* by lm_set, since lm_sweep */
+    int64_t last_plentiful; /* last time at which permits of the account were not scarce */
+    bool set_since_sweep;   /* lm_set was called since the last lm_sweep */
     int n, cap;
     struct lm_holder *holders;
 };
 
+/* The permits of a node are valid until the end of its lease. */
 struct lm_lease {
     uint64_t node;
     int64_t until;
@@ -71,97 +80,104 @@
 
 struct lm_giver {
     struct lm_tolerance tolerance;
-    int64_t leader_since;          /* it leads */
-    int64_t earlier_permits_until; /* permits of earlier leaders may be out until then */
+    int64_t leader_since;          /* start of the leadership */
+    int64_t earlier_permits_until; /* permits of earlier leaders may be valid until then */
     int n, cap;
     struct lm_account *accounts;
-    struct ix_index by_name; /* numbers in `accounts` */
+    struct ix_index by_name; /* indexes into `accounts` */
     int n_leases, cap_leases;
     struct lm_lease *leases;
 };
 
-/* What a renewal says of an account. */
+/* Part of a renewal: the permits of one account at a node. */
 struct lm_report {
-    int held;     /* permits at hand */
-    int want;     /* it would have so many */
-    int returned; /* permits that it gives back, not in `held` any more */
+    int held;     /* permits at the node */
+    int want;     /* permits that the node would like to hold in total */
+    int returned; /* permits that the node gives back; not part of `held` */
 };
 
-/* What it is answered. */
+/* The leader's reply to a report. */
 struct lm_answer {
-    int given;
-    /* Nothing was given, as the account is over its limit; the next permit is there then.
-     * 0: it is not over it, ask again. */
+    int given; /* permits granted */
+    /* If above 0: nothing was granted because the account is over its limit; the next permit is
+     * expected after this time. 0: the account is not over its limit, and the node may request
+     * again. */
     int64_t over_us;
 };
 
-/* A leader begins: its bucket of each account is empty. `first`: nobody led before. */
+/* Initializes the allocator of a new leader with empty buckets. `first`: there was no leader
+ * before. */
 void lm_begin(struct lm_giver *g, const struct lm_tolerance *t, bool first, int64_t now);
 void lm_free(struct lm_giver *g);
-/* An account's limit is this from now on. */
+/* Sets the limit of an account. */
 void lm_set(struct lm_giver *g, const char *name, double rate, double burst, int64_t now);
-/* Accounts that were not set since the last sweep have no limit any more. */
+/* Removes the limits of all accounts that were not set since the last sweep. */
 void lm_sweep(struct lm_giver *g);
-/* The node has renewed, before its reports are taken: its permits live on. Not `stays`: it
- * ends, and they with it. */
+/* Renews the lease of a node and thereby its permits. Called before the reports of the same
+ * renewal are handled. If not `stays`, the node is stopping: its lease and permits end. */
 void lm_renewed(struct lm_giver *g, uint64_t node, bool stays, int64_t now);
-/* Take a report of a node that has applied message `has`, and answer in message `seq`. False:
- * the account has no limit. */
+/* Handles a report of a node that has applied message `applied_seq`, and fills the grant that
+ * is sent in message `seq`. Returns false if the account has no limit. */
 bool lm_ask(struct lm_giver *g, const char *name, uint64_t node, const struct lm_report *r,
             uint64_t applied_seq, uint64_t seq, int64_t now, struct lm_answer *out);
-/* Permits of the account that may be out, at most. */
+/* Upper bound of the account's permits that are outstanding. */
 double lm_out(const struct lm_giver *g, const char *name, int64_t now);
 
-/* ---- holder: a node where operations begin ---- */
+/* ---- pool: a node where operations begin ---- */
 
 enum lm_verdict {
     LM_GO,   /* a permit was taken */
-    LM_WAIT, /* none is at hand; the leader is asked */
+    LM_WAIT, /* the node has no permit; one is requested from the leader */
     LM_OVER, /* the account is over its limit */
 };
 
-/* Of operations, by what is served first: priority 0, 1, and all others. */
+/* Classes of operations in the order in which they are served: priority 0, 1, and all others.
+ */
 enum { LM_CLASSES = 3 };
 
-/* How much of a class is asked for, whether or not it gets a permit. */
+/* Demand of a class: its operations, whether or not they get a permit. */
 struct lm_asked {
-    double rate;   /* operations a second, smoothed */
-    int64_t at;    /* of the last one */
-    int n_refused; /* that were refused since the last permit */
+    double rate;   /* operations per second, smoothed */
+    int64_t at;    /* time of the last operation */
+    int n_refused; /* refusals since the last permit */
 };
 
-/* An account's permits at a node. Zero-initialised is empty, and the leader knows that.
+/* An account's permits at a node. A zero-initialized pool is empty, and the leader knows that.
  *
- * Pattern: an account asks for several times its limit. Permits that go to whoever comes first
- * go to reads that can wait while orders of the same account are refused. While permits are
- * scarce a class leaves those permits that the classes before it will ask for in a moment. */
+ * An account may request several times its limit. If permits were taken in order of arrival,
+ * reads that can wait would take them while more urgent operations of the same account are
+ * refused. So while permits are scarce, a class leaves the permits that the classes before it
+ * are expected to take before the next renewal. */
 struct lm_stock {
-    int held;    /* below 0: attempts that ran without one */
-    double rate; /* operations a second, smoothed */
-    int64_t at;  /* of the last operation */
-    int waiting; /* operations that asked in vain since the last answer */
-    int64_t over_until;
-    int n_requested;      /* permits asked for with the last renewal that told of the account */
-    int64_t scarce_until; /* far fewer came than were asked for, lately */
+    int held;             /* permits; below 0: attempts that ran without one */
+    double rate;          /* operations per second, smoothed */
+    int64_t at;           /* time of the last operation */
+    int waiting;          /* operations that found no permit since the last grant */
+    int64_t over_until;   /* the account is over its limit until then; 0: it is not */
+    int n_requested;      /* permits requested in the last report of the account */
+    int64_t scarce_until; /* permits count as scarce until then */
     struct lm_asked demand[LM_CLASSES];
-    int reported_held; /* what the leader takes it to hold, as far as is known here; below 0:
-                     the leader knows nothing of this node */
+    int reported_held; /* permits that the leader counts for this node, as far as the node
+                     knows; below 0: the leader knows nothing of this node */
 };
 
-/* An operation begins. A permit that was taken is used, also if the operation is sent nowhere
- * in the end: given back, it would be one that the leader may have written off meanwhile. */
+/* Takes a permit for an operation that begins. A permit that was taken counts as used, even if
+ * the operation is not sent to an instance in the end: the leader may have written it off in
+ * the meantime, so that it can't be given back. */
 enum lm_verdict lm_take(struct lm_stock *s, int priority, int64_t now);
-/* When an operation that is over the limit should come again: so long from now. */
+/* Time from now after which an operation over the limit should be retried. */
 int64_t lm_retry_us(const struct lm_stock *s, int64_t now);
-/* A second attempt of an admitted operation reaches an instance: it counts, and waits for
- * nothing. */
+/* Charges a permit for a second attempt of an admitted operation. The attempt does not wait for
+ * a permit. */
 void lm_extra(struct lm_stock *s);
-/* What the next renewal is to say; false: nothing. Permits that are too many are given back. */
+/* Fills the report for the next renewal, giving back permits that are too many. Returns false
+ * if there is nothing to report. */
 bool lm_wants(struct lm_stock *s, int64_t now, struct lm_report *out);
 void lm_answered(struct lm_stock *s, const struct lm_answer *a, int64_t now);
-/* The permits have ended. */
+/* The permits of the node have expired. */
 void lm_void(struct lm_stock *s);
-/* Another leader is told anew what is at hand. */
+/* Called for a new leader, which does not know the permits of this node: the next lm_wants
+ * reports them in any case. */
 void lm_tell_anew(struct lm_stock *s);
 
 #endif
--- a/limit/stock.c
+++ b/limit/stock.c
@@ -1,29 +1,31 @@
-/* A node's side of limits. */
+/* The permit pool: a node's side of limits. */
 #include <math.h>
 
 #include "limit/limit.h"
 
-/* Seconds of an account's operations that a node keeps permits for; it asks for each operation
- * of an account that begins less than one in two seconds, which takes a trip to the leader.
- * Origin: nearly as long as permits live; what the depth of a limit of 1.6 times the use, as
- * the users set theirs, has room for. */
+/* A node keeps permits for this many seconds of an account's operations. For an account with
+ * less than one operation in 2 s the node requests a permit for each operation, which takes a
+ * round trip to the leader. The value is nearly the lifetime of permits, and the depth has room
+ * for so many permits if the limit is 1.6 times the actual use, as users set it. */
 #define COVER_S 1.1
-#define SMOOTH_S 1.0 /* the pace follows over so long */
-/* Permits are kept for classes that go first for so long ahead: a renewal's pause. */
+#define SMOOTH_S 1.0 /* time constant of the smoothed rates */
+/* Permits are reserved for the expected demand of the classes before in this time: the interval
+ * between two renewals. */
 #define AHEAD_S 0.2
-#define IDLE_OPERATIONS                                                                        \
-    0.1 /* of an operation in that time: a class that is asked for less is idle                \
-         */
+/* A class with an expected demand of at most this many operations in AHEAD_S is idle. */
+#define IDLE_OPERATIONS 0.1
 
 enum {
-    SCARCE_US = 1000000, /* an account counts as over its limit so long after it was */
-    /* What is refused while permits are kept for others comes back after a renewal or two. */
+    SCARCE_US = 1000000, /* permits count as scarce this long after the last sign of scarcity */
+    /* An operation that is refused while permits are reserved for other classes is retried
+     * after one or two renewals. */
     SCARCE_RETRY_US = 300000,
-    MAX_REFUSALS = 12, /* refusals of a class until it takes a permit that is kept for others */
-    SHORT_PAUSE_US = 100000, /* until the next permit; what goes first waits for it */
+    MAX_REFUSALS = 12, /* then the class may take a permit that is reserved for others */
+    /* If the next permit is expected within this time, the first class waits for it. */
+    SHORT_PAUSE_US = 100000,
 };
 
-/* The pace as it has fallen since the last operation. */
+/* The smoothed rate, decayed since the last operation. */
 static double rate_now(const struct lm_stock *s, int64_t now)
 {
     double dt = (double)(now - s->at) / 1e6;
@@ -54,7 +56,7 @@
     return priority < 0 ? 0 : priority >= LM_CLASSES ? LM_CLASSES - 1 : priority;
 }
 
-/* Permits that the classes before this one ask for until the next renewal's have come. */
+/* Permits that the classes before this one are expected to need before the next renewal. */
 static double reserved_for_others(const struct lm_stock *s, int class, int64_t now)
 {
     double sum = 0;
@@ -65,7 +67,8 @@
     return sum;
 }
 
-/* Whether permits are kept for this class: none before it is asked for, one after it is. */
+/* Whether permits are reserved for this class: all classes before it are idle, and a class
+ * after it is not. */
 static bool is_first_class(const struct lm_stock *s, int class, int64_t now)
 {
     bool later = false;
@@ -78,8 +81,8 @@
     return later;
 }
 
-/* It has none: whether it waits for the next permits, or is refused. What is served first waits
- * through a short pause, as the next ones are kept for it. */
+/* The verdict if there is no permit: the operation waits for the next grant or is refused. The
+ * first class waits through a short pause, since the next permits are reserved for it. */
 static enum lm_verdict verdict_without_permit(struct lm_stock *s, int class, int64_t now)
 {
     bool pause = now < s->over_until;
@@ -122,8 +125,8 @@
     return (int)(rate_now(s, now) * COVER_S + 0.5) + s->waiting;
 }
 
-/* What was used is told with the next renewal: permits that the leader takes to be out keep it
- * from giving others. */
+/* Used permits are reported with the next renewal: as long as the leader counts them as
+ * outstanding, it can't grant others. */
 bool lm_wants(struct lm_stock *s, int64_t now, struct lm_report *out)
 {
     int want = target_size(s, now), held = s->held > 0 ? s->held : 0;
@@ -133,7 +136,7 @@
         return false;
     *out = (struct lm_report){.held = held, .want = want};
     if (s->held < 0)
-        out->want -= s->held; /* what ran without a permit is paid first */
+        out->want -= s->held; /* first cover the attempts that ran without a permit */
     if (high) {
         out->returned = held - want;
         out->held = s->held = want;
