--- a/account/account.c
+++ b/account/account.c
@@ -4,7 +4,7 @@
 
 #include <xxhash.h>
 
-enum { FIRST_SLOTS = 64, GROWTH = 2 };
+enum { INITIAL_SLOTS = 64, GROWTH = 2 };
 
 /* One word of a line: no blank, no control character. */
 static bool is_word(struct sr_str s, size_t cap)
@@ -39,7 +39,7 @@
 }
 
 /* The slot that has the key, or the free one where it belongs. */
-static struct ac_slot *slot_of(const struct ac_table *t, struct sr_str key, uint64_t hash)
+static struct ac_slot *find_slot(const struct ac_table *t, struct sr_str key, uint64_t hash)
 {
     size_t i = (size_t)(hash % (uint64_t)t->cap);
     for (;;) {
@@ -56,13 +56,13 @@
 {
     struct ac_slot *old = t->slots;
     int n = t->cap;
-    t->cap = n ? n * GROWTH : FIRST_SLOTS;
+    t->cap = n ? n * GROWTH : INITIAL_SLOTS;
     t->slots = sr_alloc(sizeof(*t->slots) * (size_t)t->cap);
     for (int i = 0; i < t->cap; i++)
         t->slots[i].account = -1;
     for (int i = 0; i < n; i++) {
         if (old[i].account >= 0)
-            *slot_of(t, sr_from(t->texts.p + old[i].key), old[i].hash) = old[i];
+            *find_slot(t, sr_from(t->texts.p + old[i].key), old[i].hash) = old[i];
     }
     free(old);
 }
@@ -78,7 +78,7 @@
     if ((t->n_keys + 1) * 3 > t->cap * 2)
         grow(t);
     uint64_t hash = XXH64(key.p, key.len, 0);
-    struct ac_slot *s = slot_of(t, key, hash);
+    struct ac_slot *s = find_slot(t, key, hash);
     if (s->account == account)
         return true; /* named twice, it is the same key */
     if (s->account >= 0)
@@ -104,7 +104,7 @@
 {
     if (t->n_keys == 0 || key.len == 0)
         return NULL;
-    const struct ac_slot *s = slot_of(t, key, XXH64(key.p, key.len, 0));
+    const struct ac_slot *s = find_slot(t, key, XXH64(key.p, key.len, 0));
     return s->account < 0 ? NULL : &t->accounts[s->account];
 }
 
--- a/catalog/catalog.c
+++ b/catalog/catalog.c
@@ -5,10 +5,10 @@
 
 enum {
     /* Routes are sorted, or checked, in the time in which one element is read. */
-    SORTED_A_READ = 16,
+    ROUTES_PER_ELEMENT = 16,
 };
 
-static int by_place(const struct cg_route *a, const struct cg_route *b)
+static int compare_routes(const struct cg_route *a, const struct cg_route *b)
 {
     int c = strcmp(a->database, b->database);
     return c ? c : strcmp(a->prefix, b->prefix);
@@ -35,11 +35,11 @@
 
 void cg_take_begin(struct cg_taking *t, const struct cg_codec *codec, struct sr_str text)
 {
-    *t = (struct cg_taking){.codec = codec, .reading = codec->open(text)};
+    *t = (struct cg_taking){.codec = codec, .codec_state = codec->open(text)};
 }
 
 /* What was needed to sort and check. */
-static void checked(struct cg_taking *t)
+static void free_check_state(struct cg_taking *t)
 {
     ix_free(&t->services);
     od_end(&t->order);
@@ -50,19 +50,19 @@
 void cg_take_end(struct cg_taking *t)
 {
     if (t->codec)
-        t->codec->close(t->reading);
-    checked(t);
+        t->codec->close(t->codec_state);
+    free_check_state(t);
     cg_free(&t->cat);
     *t = (struct cg_taking){0};
 }
 
-static bool known(const struct cg_taking *t, const char *group)
+static bool has_service(const struct cg_taking *t, const char *group)
 {
     return group[0] ? ix_get(&t->services, group) != IX_NONE
                     : cg_service(&t->cat, group) != NULL;
 }
 
-static bool check_route(const struct cg_taking *t, const struct cg_route *before,
+static bool check_route(const struct cg_taking *t, const struct cg_route *previous,
                         const struct cg_route *r, struct er_err *err)
 {
     if (!r->database[0])
@@ -70,18 +70,18 @@
     if (r->limit_us <= 0)
         return er_set(err, ER_BAD_INPUT, "route %.60s: time limit %lld us, expected above 0",
                       r->name, (long long)r->limit_us);
-    if (!known(t, r->group))
+    if (!has_service(t, r->group))
         return er_set(err, ER_BAD_INPUT, "route %.60s: service %s is not known", r->name,
                       r->group);
-    if (before && by_place(before, r) == 0)
+    if (previous && compare_routes(previous, r) == 0)
         return er_set(err, ER_BAD_INPUT, "routes %.60s and %.60s have the same database %.60s",
-                      before->name, r->name, r->database);
+                      previous->name, r->name, r->database);
     return true;
 }
 
 static bool begin_check(struct cg_taking *t, struct er_err *err)
 {
-    t->was_read = true;
+    t->read_done = true;
     if (t->cat.version == 0)
         return er_set(err, ER_BAD_INPUT, "the document has no version above 0");
     od_begin(&t->order, t->cat.n_routes);
@@ -89,30 +89,30 @@
     return true;
 }
 
-static bool before(const void *of, int a, int b)
+static bool route_before(const void *items, int a, int b)
 {
-    const struct cg_route *routes = of;
-    return by_place(&routes[a], &routes[b]) < 0;
+    const struct cg_route *routes = items;
+    return compare_routes(&routes[a], &routes[b]) < 0;
 }
 
 /* Everything was read: go on sorting and checking. */
-static enum cg_step check(struct cg_taking *t, int most, struct er_err *err)
+static enum cg_step check_step(struct cg_taking *t, int max, struct er_err *err)
 {
     struct cg_catalog *c = &t->cat;
-    for (; t->n_named < c->n_services && most > 0; most--) {
-        const char *name = c->services[t->n_named++].group;
+    for (; t->n_indexed < c->n_services && max > 0; max--) {
+        const char *name = c->services[t->n_indexed++].group;
         if (name[0])
-            ix_set(&t->services, name, t->n_named);
+            ix_set(&t->services, name, t->n_indexed);
     }
-    if (!od_go_on(&t->order, before, c->routes, &most))
+    if (!od_go_on(&t->order, route_before, c->routes, &max))
         return CG_MORE;
-    for (; t->n_sorted < c->n_routes && most > 0; most--) {
+    for (; t->n_sorted < c->n_routes && max > 0; max--) {
         int k = t->n_sorted++;
         t->sorted[k] = c->routes[t->order.from[k]];
         if (!check_route(t, k ? &t->sorted[k - 1] : NULL, &t->sorted[k], err))
             return CG_BAD;
     }
-    if (t->n_named < c->n_services || t->n_sorted < c->n_routes)
+    if (t->n_indexed < c->n_services || t->n_sorted < c->n_routes)
         return CG_MORE;
     struct cg_route *sorted = t->sorted;
     t->sorted = c->routes;
@@ -120,21 +120,21 @@
     return CG_DONE;
 }
 
-static enum cg_step go_on(struct cg_taking *t, int most, struct er_err *err)
+static enum cg_step load_step(struct cg_taking *t, int max, struct er_err *err)
 {
-    if (!t->was_read) {
-        enum cg_step s = t->codec->read(t->reading, &most, &t->cat, err);
+    if (!t->read_done) {
+        enum cg_step s = t->codec->read(t->codec_state, &max, &t->cat, err);
         if (s != CG_DONE)
             return s;
         if (!begin_check(t, err))
             return CG_BAD;
     }
-    return check(t, most * SORTED_A_READ, err);
+    return check_step(t, max * ROUTES_PER_ELEMENT, err);
 }
 
-enum cg_step cg_take(struct cg_taking *t, int most, struct cg_catalog *out, struct er_err *err)
+enum cg_step cg_take(struct cg_taking *t, int max, struct cg_catalog *out, struct er_err *err)
 {
-    enum cg_step s = go_on(t, most, err);
+    enum cg_step s = load_step(t, max, err);
     if (s == CG_DONE) {
         *out = t->cat;
         t->cat = (struct cg_catalog){0};
@@ -149,9 +149,9 @@
     struct cg_taking t = {.cat = *c};
     enum cg_step s = begin_check(&t, err) ? CG_MORE : CG_BAD;
     while (s == CG_MORE)
-        s = check(&t, CG_AT_ONCE, err);
+        s = check_step(&t, CG_AT_ONCE, err);
     *c = t.cat;
-    checked(&t);
+    free_check_state(&t);
     return s == CG_DONE;
 }
 
@@ -169,7 +169,7 @@
 
 /* ---- looking up ---- */
 
-static int compare(struct sr_str a, const char *b)
+static int compare_name(struct sr_str a, const char *b)
 {
     size_t n = strlen(b);
     int c = memcmp(a.p, b, a.len < n ? a.len : n);
@@ -183,12 +183,12 @@
     int lo = 0, hi = c->n_routes;
     while (lo < hi) {
         int mid = (lo + hi) / 2;
-        if (compare(database, c->routes[mid].database) > 0)
+        if (compare_name(database, c->routes[mid].database) > 0)
             lo = mid + 1;
         else
             hi = mid;
     }
-    if (lo < c->n_routes && compare(database, c->routes[lo].database) == 0)
+    if (lo < c->n_routes && compare_name(database, c->routes[lo].database) == 0)
         return &c->routes[lo];
     return NULL;
 }
--- a/catalog/catalog.h
+++ b/catalog/catalog.h
@@ -65,19 +65,19 @@
     /* Read on by at most *most elements, counted down, into *out, which the caller owns
      * (cg_free) and which is not checked yet. CG_BAD with *err if the text can't be read whole.
      */
-    enum cg_step (*read)(void *reading, int *most, struct cg_catalog *out, struct er_err *err);
-    void (*close)(void *reading);
+    enum cg_step (*read)(void *state, int *max, struct cg_catalog *out, struct er_err *err);
+    void (*close)(void *state);
 };
 
 /* A document that is being taken in, a bounded part at a time: a large one, taken in at once,
  * would hold up everything else that the process does. Zero-initialised: none. */
 struct cg_taking {
     const struct cg_codec *codec; /* NULL: none */
-    void *reading;
+    void *codec_state;
     struct cg_catalog cat; /* as far as it was read */
-    bool was_read;
+    bool read_done;
     struct ix_index services; /* the first n_named of them, by name */
-    int n_named;
+    int n_indexed;
     struct od_order order; /* of the routes */
     struct cg_route *sorted;
     int n_sorted; /* in place, and checked */
@@ -89,7 +89,7 @@
 void cg_take_begin(struct cg_taking *t, const struct cg_codec *codec, struct sr_str text);
 /* Go on by at most `most` elements read, or a small multiple of that sorted and checked.
  * CG_DONE: *out is the caller's; CG_BAD: *err is filled, *out is as it was. Both end it. */
-enum cg_step cg_take(struct cg_taking *t, int most, struct cg_catalog *out, struct er_err *err);
+enum cg_step cg_take(struct cg_taking *t, int max, struct cg_catalog *out, struct er_err *err);
 void cg_take_end(struct cg_taking *t);
 
 /* All of it at once. False, *out empty and *err filled if the document is not valid. */
--- a/catalog/order.c
+++ b/catalog/order.c
@@ -13,29 +13,29 @@
         o->from[i] = i;
 }
 
-static int within(const struct od_order *o, int i)
+static int clamp_index(const struct od_order *o, int i)
 {
     return i < o->n ? i : o->n;
 }
 
 /* Moves what comes next of the two runs that are being merged. */
-static void move(struct od_order *o, od_before before, const void *of)
+static void merge_next(struct od_order *o, od_before before, const void *items)
 {
     int begin = o->k - o->k % (2 * o->width);
-    int middle = within(o, begin + o->width), end = within(o, begin + 2 * o->width);
+    int middle = clamp_index(o, begin + o->width), end = clamp_index(o, begin + 2 * o->width);
     if (o->k == begin) {
         o->left = begin;
         o->right = middle;
     }
     bool left = o->right == end ||
-                (o->left < middle && !before(of, o->from[o->right], o->from[o->left]));
+                (o->left < middle && !before(items, o->from[o->right], o->from[o->left]));
     o->to[o->k++] = o->from[left ? o->left++ : o->right++];
 }
 
-bool od_go_on(struct od_order *o, od_before before, const void *of, int *moves)
+bool od_go_on(struct od_order *o, od_before before, const void *items, int *moves)
 {
     for (; *moves > 0 && o->width < o->n; --*moves) {
-        move(o, before, of);
+        merge_next(o, before, items);
         if (o->k < o->n)
             continue;
         int *merged = o->to;
--- a/catalog/order.h
+++ b/catalog/order.h
@@ -14,11 +14,11 @@
 };
 
 /* Whether a goes before b; of equals neither does, and they keep their order. */
-typedef bool (*od_before)(const void *of, int a, int b);
+typedef bool (*od_before)(const void *items, int a, int b);
 
 void od_begin(struct od_order *o, int n);
 /* Go on by at most *moves, and count them down. Whether it is done. */
-bool od_go_on(struct od_order *o, od_before before, const void *of, int *moves);
+bool od_go_on(struct od_order *o, od_before before, const void *items, int *moves);
 void od_end(struct od_order *o);
 
 #endif
