--- a/account/account.c
+++ b/account/account.c
@@ -6,7 +6,7 @@
 
 enum { INITIAL_SLOTS = 64, GROWTH = 2 };
 
-/* One word of a line: no blank, no control character. */
+/* Whether s is one word shorter than `cap`, without blanks and control characters. */
 static bool is_word(struct sr_str s, size_t cap)
 {
     if (s.len == 0 || s.len >= cap)
@@ -23,13 +23,13 @@
 {
     struct ac_account a = {0};
     if (!is_word(name, AC_NAME) || sr_eq(name, SR_LIT("-"))) {
-        er_set(err, ER_BAD_INPUT, "account %d: its name is no word of 1 to %d bytes", t->n,
+        er_set(err, ER_BAD_INPUT, "account %d: name is not a word of 1 to %d bytes", t->n,
                AC_NAME - 1);
         return -1;
     }
     sr_copy(a.name, sizeof(a.name), name);
     if (ix_get(&t->by_name, a.name) != IX_NONE) {
-        er_set(err, ER_BAD_INPUT, "account %s is there twice", a.name);
+        er_set(err, ER_BAD_INPUT, "account %s is listed twice", a.name);
         return -1;
     }
     t->accounts = sr_realloc(t->accounts, sizeof(*t->accounts) * (size_t)(t->n + 1));
@@ -38,7 +38,7 @@
     return t->n++;
 }
 
-/* The slot that has the key, or the free one where it belongs. */
+/* Returns the slot of the key, or the free slot where the key would be inserted. */
 static struct ac_slot *find_slot(const struct ac_table *t, struct sr_str key, uint64_t hash)
 {
     size_t i = (size_t)(hash % (uint64_t)t->cap);
@@ -71,8 +71,8 @@
 {
     const char *name = t->accounts[account].name;
     if (!is_word(key, AC_KEY))
-        return er_set(err, ER_BAD_INPUT, "account %s: a key is no word of 1 to %d bytes", name,
-                      AC_KEY - 1);
+        return er_set(err, ER_BAD_INPUT, "account %s: a key is not a word of 1 to %d bytes",
+                      name, AC_KEY - 1);
     if (t->n_keys >= AC_MAX_KEYS)
         return er_set(err, ER_TOO_LARGE, "accounts have more than %d keys", AC_MAX_KEYS);
     if ((t->n_keys + 1) * 3 > t->cap * 2)
@@ -80,7 +80,7 @@
     uint64_t hash = XXH64(key.p, key.len, 0);
     struct ac_slot *s = find_slot(t, key, hash);
     if (s->account == account)
-        return true; /* named twice, it is the same key */
+        return true; /* the account lists the key twice */
     if (s->account >= 0)
         return er_set(err, ER_BAD_INPUT, "accounts %s and %s have a key in common",
                       t->accounts[s->account].name, name);
--- a/account/account.h
+++ b/account/account.h
@@ -1,7 +1,8 @@
-/* Client accounts: which account a caller's key belongs to, and how much it may ask for.
+/* Client accounts: the account that a caller's key belongs to, and its limit.
  *
- * Pure. A document lists accounts with their keys; a node that acts on it finds the account of
- * a key by hash, without a walk. A key is a secret: it stands in no error text. */
+ * Pure: no input or output. A configuration document lists accounts with their keys. The
+ * account of a key is found by hash, not by a search through all keys. A key is a secret and is
+ * never part of an error message. */
 #ifndef FL_ACCOUNT_ACCOUNT_H
 #define FL_ACCOUNT_ACCOUNT_H
 
@@ -13,44 +14,46 @@
 #include "misc/str.h"
 
 enum {
-    AC_NAME = IX_NAME, /* bytes of a name, the closing NUL included */
-    AC_KEY = 128,      /* bytes of a key, likewise */
-    AC_MAX = 16384,    /* accounts of a document */
-    AC_MAX_KEYS = 131072,
+    AC_NAME = IX_NAME,    /* bytes of a name, including the terminating NUL */
+    AC_KEY = 128,         /* bytes of a key, including the terminating NUL */
+    AC_MAX = 16384,       /* accounts in a document */
+    AC_MAX_KEYS = 131072, /* keys in a document */
 };
 
 struct ac_account {
     char name[AC_NAME];
-    bool limited;
-    double rate;  /* operations a second, on all nodes together */
-    double burst; /* operations that may come at once after a rest */
+    bool limited; /* rate and burst apply */
+    double rate;  /* operations per second, on all nodes together */
+    double burst; /* operations that may begin at once after an idle time */
 };
 
 struct ac_slot {
     uint64_t hash;
-    uint32_t key;    /* where the text begins in `texts`; its NUL ends it */
-    int32_t account; /* below 0: the slot is free */
+    uint32_t key;    /* offset of the key in `texts`, where it ends with a NUL */
+    int32_t account; /* index into `accounts`; below 0: the slot is free */
 };
 
-/* Zero-initialised is empty: a document that says nothing of accounts. */
+/* A zero-initialized table is that of a document without accounts. */
 struct ac_table {
-    bool given; /* the document lists accounts: keys count */
+    bool given; /* the document lists accounts, so callers need a key */
     int n;
     struct ac_account *accounts;
-    struct ix_index by_name; /* numbers in `accounts` */
+    struct ix_index by_name; /* indexes into `accounts` */
     int n_keys, cap;
-    struct ac_slot *slots; /* open addressing; at most two thirds are taken */
-    struct sr_buf texts;
+    struct ac_slot *slots; /* open addressing, at most two thirds full */
+    struct sr_buf texts;   /* all keys */
 };
 
-/* Add an account. Its name is one word, 1 to AC_NAME - 1 bytes, not "-", and not there yet.
- * Returns its number, or -1 with *err. */
+/* Adds an account. The name must be one word of 1 to AC_NAME - 1 bytes, must not be "-" and
+ * must not be in the table yet. Returns the account's index, or -1 with *err set to
+ * ER_BAD_INPUT. */
 int ac_add(struct ac_table *t, struct sr_str name, struct er_err *err);
-/* Give the account a key, a word of 1 to AC_KEY - 1 bytes that no other account has. */
+/* Adds a key to an account: a word of 1 to AC_KEY - 1 bytes that no other account has. Fails
+ * with ER_BAD_INPUT or, for too many keys, ER_TOO_LARGE. */
 bool ac_add_key(struct ac_table *t, int account, struct sr_str key, struct er_err *err);
 void ac_free(struct ac_table *t);
 
-/* The account that has the key, NULL none. */
+/* Return the account with the key or the name, or NULL. */
 const struct ac_account *ac_of_key(const struct ac_table *t, struct sr_str key);
 const struct ac_account *ac_by_name(const struct ac_table *t, const char *name);
 
--- a/catalog/catalog.c
+++ b/catalog/catalog.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 enum {
-    /* Routes are sorted, or checked, in the time in which one element is read. */
+    /* So many routes can be sorted or checked in the time in which one element is read. */
     ROUTES_PER_ELEMENT = 16,
 };
 
@@ -31,14 +31,14 @@
     return NULL;
 }
 
-/* ---- taking in ---- */
+/* ---- loading ---- */
 
 void cg_take_begin(struct cg_taking *t, const struct cg_codec *codec, struct sr_str text)
 {
     *t = (struct cg_taking){.codec = codec, .codec_state = codec->open(text)};
 }
 
-/* What was needed to sort and check. */
+/* Frees what was needed to sort and check. */
 static void free_check_state(struct cg_taking *t)
 {
     ix_free(&t->services);
@@ -66,13 +66,12 @@
                         const struct cg_route *r, struct er_err *err)
 {
     if (!r->database[0])
-        return er_set(err, ER_BAD_INPUT, "route %.60s names no database", r->name);
+        return er_set(err, ER_BAD_INPUT, "route %.60s: database is missing", r->name);
     if (r->limit_us <= 0)
-        return er_set(err, ER_BAD_INPUT, "route %.60s: time limit %lld us, expected above 0",
+        return er_set(err, ER_BAD_INPUT, "route %.60s: timeout %lld us, expected above 0",
                       r->name, (long long)r->limit_us);
     if (!has_service(t, r->group))
-        return er_set(err, ER_BAD_INPUT, "route %.60s: service %s is not known", r->name,
-                      r->group);
+        return er_set(err, ER_BAD_INPUT, "route %.60s: unknown service %s", r->name, r->group);
     if (previous && compare_routes(previous, r) == 0)
         return er_set(err, ER_BAD_INPUT, "routes %.60s and %.60s have the same database %.60s",
                       previous->name, r->name, r->database);
@@ -83,7 +82,7 @@
 {
     t->read_done = true;
     if (t->cat.version == 0)
-        return er_set(err, ER_BAD_INPUT, "the document has no version above 0");
+        return er_set(err, ER_BAD_INPUT, "document version is missing or 0, expected above 0");
     od_begin(&t->order, t->cat.n_routes);
     t->sorted = sr_alloc(sizeof(*t->sorted) * (size_t)(t->cat.n_routes + 1));
     return true;
@@ -95,7 +94,7 @@
     return compare_routes(&routes[a], &routes[b]) < 0;
 }
 
-/* Everything was read: go on sorting and checking. */
+/* Continues to sort and check after all elements were read. */
 static enum cg_step check_step(struct cg_taking *t, int max, struct er_err *err)
 {
     struct cg_catalog *c = &t->cat;
@@ -167,7 +166,7 @@
     return s == CG_DONE;
 }
 
-/* ---- looking up ---- */
+/* ---- lookups ---- */
 
 static int compare_name(struct sr_str a, const char *b)
 {
--- a/catalog/catalog.h
+++ b/catalog/catalog.h
@@ -1,8 +1,8 @@
-/* What a configuration document says: which databases there are, what may be read how old, and
- * how long a statement may take.
+/* The content of a configuration document: the databases, how old data their reads may return,
+ * and how long a statement may take.
  *
- * Pure. An interface's codec makes a catalog of a document's text; the checks and look-ups are
- * the same for all. */
+ * Pure: no input or output. The codec of an interface converts the text of a document to a
+ * catalog; checks and lookups are the same for all interfaces. */
 #ifndef FL_CATALOG_CATALOG_H
 #define FL_CATALOG_CATALOG_H
 
@@ -13,94 +13,96 @@
 #include "misc/str.h"
 #include "view/view.h"
 
+/* CG_NAME is in bytes, including the terminating NUL. */
 enum { CG_NAME = 128, CG_MAX_ROUTES = 16384, CG_MAX_SERVICES = VW_MAX_GROUPS };
 
-/* Which commits a database's reads must see. */
+/* The commits that a read of a database must see. */
 enum cg_reads {
-    CG_NEWEST,  /* all that were acknowledged before */
-    CG_BOUNDED, /* all that were acknowledged more than max_age_us before */
-    CG_SESSION, /* the same, and all of the session itself */
+    CG_NEWEST,  /* all commits acknowledged before the read */
+    CG_BOUNDED, /* all commits acknowledged more than max_age_us before the read */
+    CG_SESSION, /* as CG_BOUNDED, and all commits of the same session */
 };
 
-/* A database that callers name, and how its statements are served. */
+/* A database and how its statements are served. */
 struct cg_route {
     char name[CG_NAME];
-    char database[CG_NAME]; /* as callers name it */
-    char prefix[CG_NAME];   /* a second part of its name; "/" for databases */
-    char group[VW_NAME];    /* the group of instances that holds it */
+    char database[CG_NAME]; /* the name that callers use */
+    char prefix[CG_NAME];   /* a second part of the name; "/" for databases */
+    char group[VW_NAME];    /* the group of instances that stores the database */
     enum cg_reads reads;
-    int64_t max_age_us; /* CG_BOUNDED, CG_SESSION */
-    int64_t limit_us;   /* longest a statement may take; above 0 */
-    int64_t aim_us;     /* what an operation should take */
+    int64_t max_age_us; /* for CG_BOUNDED and CG_SESSION */
+    int64_t limit_us;   /* maximum duration of a statement; above 0 */
+    int64_t aim_us;     /* target latency of an operation */
     int priority;       /* 0 is served first */
-    int attempts;       /* instances that a statement may be offered to, at most */
-    bool open_to_all;   /* callers need no key for it */
+    int attempts;       /* maximum number of instances that a statement is offered to */
+    bool open_to_all;   /* callers need no key for this database */
 };
 
 struct cg_service {
     char group[VW_NAME];
     int max_conns;   /* connections that each of its instances accepts */
-    int sync_copies; /* replicas that have a commit before it is acknowledged */
+    int sync_copies; /* replicas that must have a commit before it is acknowledged */
 };
 
-/* Zero-initialised is empty. */
+/* A zero-initialized catalog is empty. */
 struct cg_catalog {
     uint64_t version;
     int n_routes;
-    struct cg_route *routes; /* by database, then prefix, once cg_check was called */
+    struct cg_route *routes; /* sorted by database, then prefix, after cg_check */
     int n_services;
     struct cg_service *services;
     struct ac_table accounts;
-    int64_t
-        txn_idle_us; /* a transaction that rests longer may be ended; 0: no bound is given */
+    int64_t txn_idle_us; /* transactions idle for longer may be ended; 0: no limit is given */
 };
 
+/* Result of a step: more steps are needed, the document is loaded, or the document is invalid.
+ */
 enum cg_step { CG_MORE, CG_DONE, CG_BAD };
 
-/* How an interface writes documents: untrusted text, read a part at a time. */
+/* Reads the documents of an interface: untrusted text, parsed in steps. */
 struct cg_codec {
     const char *name;
-    /* The text must outlive what this returns. */
+    /* Returns the state of the parser. The text must outlive it. */
     void *(*open)(struct sr_str text);
-    /* Read on by at most *most elements, counted down, into *out, which the caller owns
-     * (cg_free) and which is not checked yet. CG_BAD with *err if the text can't be read whole.
-     */
+    /* Parses at most *max more elements, which are subtracted from *max, into *out. The caller
+     * owns *out (cg_free), and its content is not checked yet. Returns CG_BAD with *err set if
+     * the text is invalid. */
     enum cg_step (*read)(void *state, int *max, struct cg_catalog *out, struct er_err *err);
     void (*close)(void *state);
 };
 
-/* A document that is being taken in, a bounded part at a time: a large one, taken in at once,
- * would hold up everything else that the process does. Zero-initialised: none. */
+/* Loads a document in bounded steps, because loading a large one at once would delay everything
+ * else that the process does. A zero-initialized loader has no document. */
 struct cg_taking {
-    const struct cg_codec *codec; /* NULL: none */
+    const struct cg_codec *codec; /* NULL: no document */
     void *codec_state;
-    struct cg_catalog cat; /* as far as it was read */
-    bool read_done;
-    struct ix_index services; /* the first n_named of them, by name */
+    struct cg_catalog cat;    /* what was read so far */
+    bool read_done;           /* all elements were read */
+    struct ix_index services; /* the first n_indexed services, by name */
     int n_indexed;
     struct od_order order; /* of the routes */
     struct cg_route *sorted;
-    int n_sorted; /* in place, and checked */
+    int n_sorted; /* routes that are in `sorted` and checked */
 };
 
-enum { CG_AT_ONCE = 1 << 20 }; /* elements: more than a document may have */
+enum { CG_AT_ONCE = 1 << 20 }; /* more elements than a document may have */
 
-/* The text must outlive the taking. */
+/* Starts to load a document. The text must outlive the loader. */
 void cg_take_begin(struct cg_taking *t, const struct cg_codec *codec, struct sr_str text);
-/* Go on by at most `most` elements read, or a small multiple of that sorted and checked.
- * CG_DONE: *out is the caller's; CG_BAD: *err is filled, *out is as it was. Both end it. */
+/* Reads at most `max` elements, or sorts and checks a small multiple of that. On CG_DONE the
+ * caller owns *out; on CG_BAD *err is set and *out is unchanged. Both end the loading. */
 enum cg_step cg_take(struct cg_taking *t, int max, struct cg_catalog *out, struct er_err *err);
 void cg_take_end(struct cg_taking *t);
 
-/* All of it at once. False, *out empty and *err filled if the document is not valid. */
+/* Loads a document at once. If it is invalid, returns false with *out empty and *err set. */
 bool cg_read(const struct cg_codec *codec, struct sr_str text, struct cg_catalog *out,
              struct er_err *err);
-/* Sort and check: every route's group is a service, no two routes have the same database and
- * prefix, limits are above 0. */
+/* Sorts and checks the routes: the group of each route must be a service, no two routes may
+ * have the same database and prefix, and timeouts must be above 0. */
 bool cg_check(struct cg_catalog *c, struct er_err *err);
 void cg_free(struct cg_catalog *c);
 
-/* The route of a database, NULL none. */
+/* Return the route of a database or the service of a group, or NULL. */
 const struct cg_route *cg_route(const struct cg_catalog *c, struct sr_str database);
 const struct cg_service *cg_service(const struct cg_catalog *c, const char *group);
 
--- a/catalog/order.c
+++ b/catalog/order.c
@@ -18,7 +18,7 @@
     return i < o->n ? i : o->n;
 }
 
-/* Moves what comes next of the two runs that are being merged. */
+/* Moves the next item of the two runs that are being merged. */
 static void merge_next(struct od_order *o, od_before before, const void *items)
 {
     int begin = o->k - o->k % (2 * o->width);
--- a/catalog/order.h
+++ b/catalog/order.h
@@ -1,6 +1,7 @@
-/* Sorting a bounded part at a time: merges from the smallest runs up.
+/* Incremental sorting: a bottom-up merge sort that does a bounded number of moves per call. It
+ * sorts indexes of items, which it compares with a callback.
  *
- * Pure. */
+ * Pure: no input or output. */
 #ifndef FL_CATALOG_ORDER_H
 #define FL_CATALOG_ORDER_H
 
@@ -8,16 +9,18 @@
 
 struct od_order {
     int n;
-    int *from, *to; /* numbers of what is sorted; `from` is in order once it is done */
-    int width;      /* of the runs in `from` that are sorted */
-    int left, right, k;
+    int *from, *to;     /* indexes of the items; `from` is sorted when the sort has finished */
+    int width;          /* length of the sorted runs in `from` */
+    int left, right, k; /* next of the left run, of the right run, and in `to` */
 };
 
-/* Whether a goes before b; of equals neither does, and they keep their order. */
+/* Whether item a sorts before item b. False both ways for equal items, which keep their order.
+ */
 typedef bool (*od_before)(const void *items, int a, int b);
 
 void od_begin(struct od_order *o, int n);
-/* Go on by at most *moves, and count them down. Whether it is done. */
+/* Continues by at most *moves moves and subtracts them from *moves. Returns whether the sort
+ * has finished. */
 bool od_go_on(struct od_order *o, od_before before, const void *items, int *moves);
 void od_end(struct od_order *o);
 
