--- a/limit/limit.h
+++ b/limit/limit.h
@@ -148,7 +148,7 @@
  * reads that can wait would take them while more urgent operations of the same account are
  * refused. So while permits are scarce, a class leaves the permits that the classes before it
  * are expected to take before the next renewal. */
-struct lm_stock {
+struct lm_pool {
     int held;             /* permits; below 0: attempts that ran without one */
     double rate;          /* operations per second, smoothed */
     int64_t at;           /* time of the last operation */
@@ -164,20 +164,20 @@
 /* Takes a permit for an operation that begins. A permit that was taken counts as used, even if
  * the operation is not sent to an instance in the end: the leader may have written it off in
  * the meantime, so that it can't be given back. */
-enum lm_verdict lm_take(struct lm_stock *s, int priority, int64_t now);
+enum lm_verdict lm_take(struct lm_pool *s, int priority, int64_t now);
 /* Time from now after which an operation over the limit should be retried. */
-int64_t lm_retry_us(const struct lm_stock *s, int64_t now);
+int64_t lm_retry_us(const struct lm_pool *s, int64_t now);
 /* Charges a permit for a second attempt of an admitted operation. The attempt does not wait for
  * a permit. */
-void lm_extra(struct lm_stock *s);
+void lm_extra(struct lm_pool *s);
 /* Fills the report for the next renewal, giving back permits that are too many. Returns false
  * if there is nothing to report. */
-bool lm_wants(struct lm_stock *s, int64_t now, struct lm_report *out);
-void lm_answered(struct lm_stock *s, const struct lm_answer *a, int64_t now);
+bool lm_wants(struct lm_pool *s, int64_t now, struct lm_report *out);
+void lm_answered(struct lm_pool *s, const struct lm_answer *a, int64_t now);
 /* The permits of the node have expired. */
-void lm_void(struct lm_stock *s);
+void lm_void(struct lm_pool *s);
 /* Called for a new leader, which does not know the permits of this node: the next lm_wants
  * reports them in any case. */
-void lm_tell_anew(struct lm_stock *s);
+void lm_tell_anew(struct lm_pool *s);
 
 #endif
--- a/limit/stock.c
+++ b/limit/stock.c
@@ -26,13 +26,13 @@
 };
 
 /* The smoothed rate, decayed since the last operation. */
-static double rate_now(const struct lm_stock *s, int64_t now)
+static double rate_now(const struct lm_pool *s, int64_t now)
 {
     double dt = (double)(now - s->at) / 1e6;
     return s->rate * exp(-dt / SMOOTH_S);
 }
 
-static void note_operation(struct lm_stock *s, int64_t now)
+static void note_operation(struct lm_pool *s, int64_t now)
 {
     s->rate = rate_now(s, now) + 1 / SMOOTH_S;
     s->at = now;
@@ -57,7 +57,7 @@
 }
 
 /* Permits that the classes before this one are expected to need before the next renewal. */
-static double reserved_for_others(const struct lm_stock *s, int class, int64_t now)
+static double reserved_for_others(const struct lm_pool *s, int class, int64_t now)
 {
     double sum = 0;
     if (s->demand[class].n_refused >= MAX_REFUSALS)
@@ -69,7 +69,7 @@
 
 /* Whether permits are reserved for this class: all classes before it are idle, and a class
  * after it is not. */
-static bool is_first_class(const struct lm_stock *s, int class, int64_t now)
+static bool is_first_class(const struct lm_pool *s, int class, int64_t now)
 {
     bool later = false;
     for (int i = 0; i < LM_CLASSES; i++) {
@@ -83,7 +83,7 @@
 
 /* The verdict if there is no permit: the operation waits for the next grant or is refused. The
  * first class waits through a short pause, since the next permits are reserved for it. */
-static enum lm_verdict verdict_without_permit(struct lm_stock *s, int class, int64_t now)
+static enum lm_verdict verdict_without_permit(struct lm_pool *s, int class, int64_t now)
 {
     bool pause = now < s->over_until;
     if (pause && (s->over_until - now > SHORT_PAUSE_US || !is_first_class(s, class, now)))
@@ -93,7 +93,7 @@
     return LM_WAIT;
 }
 
-enum lm_verdict lm_take(struct lm_stock *s, int priority, int64_t now)
+enum lm_verdict lm_take(struct lm_pool *s, int priority, int64_t now)
 {
     int class = class_of(priority);
     double reserved = reserved_for_others(s, class, now);
@@ -109,25 +109,25 @@
     return v;
 }
 
-int64_t lm_retry_us(const struct lm_stock *s, int64_t now)
+int64_t lm_retry_us(const struct lm_pool *s, int64_t now)
 {
     int64_t us = s->over_until - now;
     return now < s->scarce_until && us < SCARCE_RETRY_US ? SCARCE_RETRY_US : us;
 }
 
-void lm_extra(struct lm_stock *s)
+void lm_extra(struct lm_pool *s)
 {
     s->held--;
 }
 
-static int target_size(const struct lm_stock *s, int64_t now)
+static int target_size(const struct lm_pool *s, int64_t now)
 {
     return (int)(rate_now(s, now) * COVER_S + 0.5) + s->waiting;
 }
 
 /* Used permits are reported with the next renewal: as long as the leader counts them as
  * outstanding, it can't grant others. */
-bool lm_wants(struct lm_stock *s, int64_t now, struct lm_report *out)
+bool lm_wants(struct lm_pool *s, int64_t now, struct lm_report *out)
 {
     int want = target_size(s, now), held = s->held > 0 ? s->held : 0;
     bool low = s->held < want && held * 2 <= want;
@@ -146,7 +146,7 @@
     return true;
 }
 
-void lm_answered(struct lm_stock *s, const struct lm_answer *a, int64_t now)
+void lm_answered(struct lm_pool *s, const struct lm_answer *a, int64_t now)
 {
     s->held += a->given;
     s->reported_held += a->given;
@@ -157,13 +157,13 @@
     s->n_requested = 0;
 }
 
-void lm_void(struct lm_stock *s)
+void lm_void(struct lm_pool *s)
 {
     if (s->held > 0)
         s->held = 0;
 }
 
-void lm_tell_anew(struct lm_stock *s)
+void lm_tell_anew(struct lm_pool *s)
 {
     s->reported_held = -1;
 }
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -158,7 +158,7 @@
 /* A client account at this node. */
 struct px_account {
     char name[AC_NAME];
-    struct lm_stock stock;
+    struct lm_pool stock;
     uint64_t begun, refused; /* operations; refused for the limit */
 };
 
--- a/tests/unit/test_limit.c
+++ b/tests/unit/test_limit.c
@@ -50,7 +50,7 @@
     int64_t learns; /* of a new one */
     bool hoards;    /* it asks for many, and keeps them */
     bool untold;    /* that leader does not know what it has */
-    struct lm_stock stock;
+    struct lm_pool stock;
     int64_t until, next_renew, frozen_until;
     uint64_t has; /* number of the last message of that leader */
 };
@@ -132,7 +132,7 @@
 /* ---- messages ---- */
 
 /* The bound holds whatever nodes ask for. */
-static bool hoard(struct lm_stock *s, struct lm_report *r)
+static bool hoard(struct lm_pool *s, struct lm_report *r)
 {
     int held = s->held > 0 ? s->held : 0;
     if (s->held >= HOARD && s->reported_held == held)
@@ -424,7 +424,7 @@
 {
     enum { SECONDS = 60, WARM = 10, TICK_US = 1000 };
     struct rn_rng rng = rn_seed(seed);
-    struct lm_stock *stock = sr_alloc(sizeof(*stock) * (size_t)nodes);
+    struct lm_pool *stock = sr_alloc(sizeof(*stock) * (size_t)nodes);
     struct lm_giver g = {0};
     int64_t now = CK_SEC(50);
     int asked = 1, refused = 0, again = 0;
--- a/tests/unit/test_permits.c
+++ b/tests/unit/test_permits.c
@@ -30,7 +30,7 @@
 {
     enum { RATE = 200, ASKED = RATE * 9 / 10, TICKS = 1320, NODE = 1 };
     struct lm_giver g = {0};
-    struct lm_stock stock = {0};
+    struct lm_pool stock = {0};
     int64_t now = CK_SEC(50);
     int asked = 0, served = 0;
     lm_begin(&g, &tolerance, false, now);
@@ -68,7 +68,7 @@
         NODE = 1
     };
     struct lm_giver g = {0};
-    struct lm_stock stock = {0};
+    struct lm_pool stock = {0};
     int64_t now = CK_SEC(50);
     int waits = 0, asked[LM_CLASSES] = {0}, begun[LM_CLASSES] = {0};
     lm_begin(&g, &tolerance, true, now);
