--- a/bench/decisions.c
+++ b/bench/decisions.c
@@ -275,7 +275,7 @@
 static void permit_of_16(int n)
 {
     enum { NODES = 16 };
-    static struct lm_giver g;
+    static struct lm_allocator g;
     struct lm_tolerance t = {5, 0.1, 20};
     struct lm_report r = {.want = 1};
     struct lm_answer a;
--- a/control/control.h
+++ b/control/control.h
@@ -212,10 +212,10 @@
     int64_t joined_at; /* a node got its first lease of this leader */
     struct ls_giver giver;
     struct sh_table shares;
-    uint64_t shares_seq;    /* of the last WR_SHARES sent to anybody */
-    struct lm_giver limits; /* of client accounts */
-    uint64_t step_index;    /* log index of the last step proposed for an intent */
-    int64_t in_force_since; /* all entry nodes act on the current view since; 0: not */
+    uint64_t shares_seq;        /* of the last WR_SHARES sent to anybody */
+    struct lm_allocator limits; /* of client accounts */
+    uint64_t step_index;        /* log index of the last step proposed for an intent */
+    int64_t in_force_since;     /* all entry nodes act on the current view since; 0: not */
     int64_t next_probe_report, next_intent, next_platform, next_complaint;
     bool asking_platform;
     uint64_t force_gen; /* change whose time to force is being measured */
--- a/limit/giver.c
+++ b/limit/giver.c
@@ -25,7 +25,7 @@
     return us * 11 / 10;
 }
 
-void lm_begin(struct lm_giver *g, const struct lm_tolerance *t, bool first, int64_t now)
+void lm_begin(struct lm_allocator *g, const struct lm_tolerance *t, bool first, int64_t now)
 {
     lm_free(g);
     g->tolerance = *t;
@@ -33,7 +33,7 @@
     g->earlier_permits_until = first ? now : now + with_drift(LM_LIFE_US);
 }
 
-void lm_free(struct lm_giver *g)
+void lm_free(struct lm_allocator *g)
 {
     for (int i = 0; i < g->n; i++)
         free(g->accounts[i].holders);
@@ -43,7 +43,7 @@
     memset(g, 0, sizeof(*g));
 }
 
-static struct lm_account *find(const struct lm_giver *g, const char *name)
+static struct lm_account *find(const struct lm_allocator *g, const char *name)
 {
     int i = ix_get(&g->by_name, name);
     return i == IX_NONE ? NULL : &g->accounts[i];
@@ -51,7 +51,7 @@
 
 /* ---- leases ---- */
 
-static struct lm_lease *lease_of(const struct lm_giver *g, uint64_t node)
+static struct lm_lease *lease_of(const struct lm_allocator *g, uint64_t node)
 {
     for (int i = 0; i < g->n_leases; i++) {
         if (g->leases[i].node == node)
@@ -61,7 +61,7 @@
 }
 
 /* Returns a slot for a new lease: the slot of an expired lease, if there is one. */
-static struct lm_lease *alloc_lease(struct lm_giver *g, int64_t now)
+static struct lm_lease *alloc_lease(struct lm_allocator *g, int64_t now)
 {
     for (int i = 0; i < g->n_leases; i++) {
         if (now >= g->leases[i].until)
@@ -74,7 +74,7 @@
     return &g->leases[g->n_leases++];
 }
 
-void lm_renewed(struct lm_giver *g, uint64_t node, bool stays, int64_t now)
+void lm_renewed(struct lm_allocator *g, uint64_t node, bool stays, int64_t now)
 {
     struct lm_lease *l = lease_of(g, node);
     if (!l)
@@ -84,33 +84,33 @@
 
 /* ---- the bucket ---- */
 
-static double full_depth(const struct lm_giver *g, const struct lm_account *a)
+static double full_depth(const struct lm_allocator *g, const struct lm_account *a)
 {
     const struct lm_tolerance *t = &g->tolerance;
     double tolerated = (a->rate * t->window_s + a->burst) * t->overrun + t->slack;
     return fmax(a->burst + tolerated * DEPTH_TOLERANCE_PART, 1);
 }
 
-static bool is_scarce(const struct lm_giver *g, const struct lm_account *a, int64_t now)
+static bool is_scarce(const struct lm_allocator *g, const struct lm_account *a, int64_t now)
 {
     return (double)(now - a->last_plentiful) >= g->tolerance.window_s * 1e6;
 }
 
 /* Upper bound of the unused permits, in the bucket and outstanding. */
-static double depth(const struct lm_giver *g, const struct lm_account *a, int64_t now)
+static double depth(const struct lm_allocator *g, const struct lm_account *a, int64_t now)
 {
     return full_depth(g, a) * (is_scarce(g, a, now) ? SCARCE_PART : 1);
 }
 
 /* Permits per second. */
-static double refill_rate(const struct lm_giver *g, const struct lm_account *a, int64_t now)
+static double refill_rate(const struct lm_allocator *g, const struct lm_account *a, int64_t now)
 {
     double more = full_depth(g, a) * (1 - SCARCE_PART) / g->tolerance.window_s;
     return a->rate + (is_scarce(g, a, now) ? more : 0);
 }
 
 /* Removes the holders whose lease has expired and returns the outstanding permits. */
-static double outstanding_now(const struct lm_giver *g, struct lm_account *a, int64_t now)
+static double outstanding_now(const struct lm_allocator *g, struct lm_account *a, int64_t now)
 {
     double sum = 0;
     for (int i = 0; i < a->n; i++) {
@@ -128,7 +128,8 @@
  * leadership, and over the lifetime of a permit it grows to the part of the depth that the
  * earlier permits leave. So the bounds of several leaders that share that time add up to no
  * more than that part. */
-static double startup_bound(const struct lm_giver *g, const struct lm_account *a, int64_t now)
+static double startup_bound(const struct lm_allocator *g, const struct lm_account *a,
+                            int64_t now)
 {
     double left = full_depth(g, a) * (1 - LM_OUT_PART);
     return left * (double)(now - g->leader_since) / (double)with_drift(LM_LIFE_US);
@@ -144,7 +145,7 @@
 
 /* Returns how many permits the bucket may hold: an unused permit is either in the bucket or
  * outstanding, and both together are bounded. */
-static double bucket_room(const struct lm_giver *g, struct lm_account *a, double out,
+static double bucket_room(const struct lm_allocator *g, struct lm_account *a, double out,
                           int64_t now)
 {
     double all = depth(g, a, a->at) - out;
@@ -154,7 +155,7 @@
 }
 
 /* Refills the bucket up to the time `now`. Returns the outstanding permits. */
-static double refill(const struct lm_giver *g, struct lm_account *a, int64_t now)
+static double refill(const struct lm_allocator *g, struct lm_account *a, int64_t now)
 {
     double out = outstanding_now(g, a, now);
     double refilled = refill_rate(g, a, a->at) * (double)(now - a->at) / 1e6;
@@ -169,7 +170,7 @@
     return out;
 }
 
-void lm_set(struct lm_giver *g, const char *name, double rate, double burst, int64_t now)
+void lm_set(struct lm_allocator *g, const char *name, double rate, double burst, int64_t now)
 {
     struct lm_account *a = find(g, name);
     if (!a) {
@@ -189,7 +190,7 @@
     a->set_since_sweep = true;
 }
 
-void lm_sweep(struct lm_giver *g)
+void lm_sweep(struct lm_allocator *g)
 {
     for (int i = 0; i < g->n; i++) {
         struct lm_account *a = &g->accounts[i];
@@ -208,7 +209,7 @@
 
 /* ---- outstanding permits ---- */
 
-double lm_out(const struct lm_giver *g, const char *name, int64_t now)
+double lm_out(const struct lm_allocator *g, const char *name, int64_t now)
 {
     struct lm_account *a = find(g, name);
     return a ? outstanding_now(g, a, now) : 0;
@@ -228,7 +229,7 @@
     return &a->holders[a->n++];
 }
 
-static void grant(struct lm_giver *g, struct lm_account *a, struct lm_holder *h,
+static void grant(struct lm_allocator *g, struct lm_account *a, struct lm_holder *h,
                   double outstanding, double need, uint64_t seq, int64_t now,
                   struct lm_answer *out)
 {
@@ -251,7 +252,7 @@
     }
 }
 
-bool lm_ask(struct lm_giver *g, const char *name, uint64_t node, const struct lm_report *r,
+bool lm_ask(struct lm_allocator *g, const char *name, uint64_t node, const struct lm_report *r,
             uint64_t applied_seq, uint64_t seq, int64_t now, struct lm_answer *out)
 {
     struct lm_account *a = find(g, name);
--- a/limit/limit.h
+++ b/limit/limit.h
@@ -78,7 +78,7 @@
     int64_t until;
 };
 
-struct lm_giver {
+struct lm_allocator {
     struct lm_tolerance tolerance;
     int64_t leader_since;          /* start of the leadership */
     int64_t earlier_permits_until; /* permits of earlier leaders may be valid until then */
@@ -107,21 +107,21 @@
 
 /* Initializes the allocator of a new leader with empty buckets. `first`: there was no leader
  * before. */
-void lm_begin(struct lm_giver *g, const struct lm_tolerance *t, bool first, int64_t now);
-void lm_free(struct lm_giver *g);
+void lm_begin(struct lm_allocator *g, const struct lm_tolerance *t, bool first, int64_t now);
+void lm_free(struct lm_allocator *g);
 /* Sets the limit of an account. */
-void lm_set(struct lm_giver *g, const char *name, double rate, double burst, int64_t now);
+void lm_set(struct lm_allocator *g, const char *name, double rate, double burst, int64_t now);
 /* Removes the limits of all accounts that were not set since the last sweep. */
-void lm_sweep(struct lm_giver *g);
+void lm_sweep(struct lm_allocator *g);
 /* Renews the lease of a node and thereby its permits. Called before the reports of the same
  * renewal are handled. If not `stays`, the node is stopping: its lease and permits end. */
-void lm_renewed(struct lm_giver *g, uint64_t node, bool stays, int64_t now);
+void lm_renewed(struct lm_allocator *g, uint64_t node, bool stays, int64_t now);
 /* Handles a report of a node that has applied message `applied_seq`, and fills the grant that
  * is sent in message `seq`. Returns false if the account has no limit. */
-bool lm_ask(struct lm_giver *g, const char *name, uint64_t node, const struct lm_report *r,
+bool lm_ask(struct lm_allocator *g, const char *name, uint64_t node, const struct lm_report *r,
             uint64_t applied_seq, uint64_t seq, int64_t now, struct lm_answer *out);
 /* Upper bound of the account's permits that are outstanding. */
-double lm_out(const struct lm_giver *g, const char *name, int64_t now);
+double lm_out(const struct lm_allocator *g, const char *name, int64_t now);
 
 /* ---- pool: a node where operations begin ---- */
 
--- a/tests/unit/test_limit.c
+++ b/tests/unit/test_limit.c
@@ -62,7 +62,7 @@
     int64_t now;
     uint64_t reign, last_id, last_seq;
     bool led;
-    struct lm_giver leader;
+    struct lm_allocator leader;
     double rate, burst, old_rate, old_burst, bound, old_bound;
     int64_t lowered_at;
     int load; /* operations that a node may begin in a step, for now */
@@ -425,7 +425,7 @@
     enum { SECONDS = 60, WARM = 10, TICK_US = 1000 };
     struct rn_rng rng = rn_seed(seed);
     struct lm_pool *stock = sr_alloc(sizeof(*stock) * (size_t)nodes);
-    struct lm_giver g = {0};
+    struct lm_allocator g = {0};
     int64_t now = CK_SEC(50);
     int asked = 1, refused = 0, again = 0;
     lm_begin(&g, &tolerance, true, now);
@@ -472,7 +472,7 @@
  * the slack hold; an account that is taken away has no limit. */
 static void limits_at_their_edges(void)
 {
-    struct lm_giver g = {0};
+    struct lm_allocator g = {0};
     struct lm_report r = {.want = 1000};
     struct lm_answer a;
     lm_begin(&g, &tolerance, true, 0);
--- a/tests/unit/test_permits.c
+++ b/tests/unit/test_permits.c
@@ -9,7 +9,7 @@
  * list is before it, have ended. */
 static void permits_count_when_a_holder_ends(void)
 {
-    struct lm_giver g = {0};
+    struct lm_allocator g = {0};
     struct lm_report r = {.want = 5};
     struct lm_answer a;
     lm_begin(&g, &tolerance, true, 0);
@@ -29,7 +29,7 @@
 static void a_new_leader_gives_the_rate(void)
 {
     enum { RATE = 200, ASKED = RATE * 9 / 10, TICKS = 1320, NODE = 1 };
-    struct lm_giver g = {0};
+    struct lm_allocator g = {0};
     struct lm_pool stock = {0};
     int64_t now = CK_SEC(50);
     int asked = 0, served = 0;
@@ -67,7 +67,7 @@
         TICKS = 5000,
         NODE = 1
     };
-    struct lm_giver g = {0};
+    struct lm_allocator g = {0};
     struct lm_pool stock = {0};
     int64_t now = CK_SEC(50);
     int waits = 0, asked[LM_CLASSES] = {0}, begun[LM_CLASSES] = {0};
