--- a/bench/decisions.c
+++ b/bench/decisions.c
@@ -278,7 +278,7 @@
     static struct lm_allocator g;
     struct lm_tolerance t = {5, 0.1, 20};
     struct lm_report r = {.want = 1};
-    struct lm_answer a;
+    struct lm_grant a;
     int64_t now = CK_SEC(10);
     lm_begin(&g, &t, true, now);
     lm_set(&g, "account", 1000, 1000, now);
@@ -286,7 +286,7 @@
         uint64_t node = (uint64_t)(i % NODES) + 1;
         now += 1000;
         lm_renewed(&g, node, true, now);
-        lm_ask(&g, "account", node, &r, (uint64_t)i, (uint64_t)i + 1, now, &a);
+        lm_handle_report(&g, "account", node, &r, (uint64_t)i, (uint64_t)i + 1, now, &a);
         keep += (uint64_t)a.given;
     }
 }
--- a/control/limits.c
+++ b/control/limits.c
@@ -33,10 +33,11 @@
     for (uint32_t i = 0; i < r->n_permits && !r->stopping; i++) {
         const struct wr_permit_ask *a = &r->permits[i];
         struct lm_report report = {(int)a->held, (int)a->want, (int)a->returned};
-        struct lm_answer answer;
+        struct lm_grant answer;
         char name[LM_NAME];
         if (!sr_copy(name, sizeof(name), a->account) || !name[0] ||
-            !lm_ask(&n->limits, name, node, &report, r->shares_seq, seq, now, &answer))
+            !lm_handle_report(&n->limits, name, node, &report, r->shares_seq, seq, now,
+                              &answer))
             continue;
         out[k++] = (struct wr_permit){.account = a->account,
                                       .given = (uint32_t)answer.given,
--- a/limit/giver.c
+++ b/limit/giver.c
@@ -231,7 +231,7 @@
 
 static void grant(struct lm_allocator *g, struct lm_account *a, struct lm_holder *h,
                   double outstanding, double need, uint64_t seq, int64_t now,
-                  struct lm_answer *out)
+                  struct lm_grant *out)
 {
     if (need < 1)
         return;
@@ -252,11 +252,12 @@
     }
 }
 
-bool lm_ask(struct lm_allocator *g, const char *name, uint64_t node, const struct lm_report *r,
-            uint64_t applied_seq, uint64_t seq, int64_t now, struct lm_answer *out)
+bool lm_handle_report(struct lm_allocator *g, const char *name, uint64_t node,
+                      const struct lm_report *r, uint64_t applied_seq, uint64_t seq,
+                      int64_t now, struct lm_grant *out)
 {
     struct lm_account *a = find(g, name);
-    *out = (struct lm_answer){0};
+    *out = (struct lm_grant){0};
     if (!a)
         return false;
     /* Removes expired holders first, since that moves the others in the array. */
--- a/limit/limit.h
+++ b/limit/limit.h
@@ -97,7 +97,7 @@
 };
 
 /* The leader's reply to a report. */
-struct lm_answer {
+struct lm_grant {
     int given; /* permits granted */
     /* If above 0: nothing was granted because the account is over its limit; the next permit is
      * expected after this time. 0: the account is not over its limit, and the node may request
@@ -118,8 +118,9 @@
 void lm_renewed(struct lm_allocator *g, uint64_t node, bool stays, int64_t now);
 /* Handles a report of a node that has applied message `applied_seq`, and fills the grant that
  * is sent in message `seq`. Returns false if the account has no limit. */
-bool lm_ask(struct lm_allocator *g, const char *name, uint64_t node, const struct lm_report *r,
-            uint64_t applied_seq, uint64_t seq, int64_t now, struct lm_answer *out);
+bool lm_handle_report(struct lm_allocator *g, const char *name, uint64_t node,
+                      const struct lm_report *r, uint64_t applied_seq, uint64_t seq,
+                      int64_t now, struct lm_grant *out);
 /* Upper bound of the account's permits that are outstanding. */
 double lm_out(const struct lm_allocator *g, const char *name, int64_t now);
 
@@ -172,12 +173,12 @@
 void lm_extra(struct lm_pool *s);
 /* Fills the report for the next renewal, giving back permits that are too many. Returns false
  * if there is nothing to report. */
-bool lm_wants(struct lm_pool *s, int64_t now, struct lm_report *out);
-void lm_answered(struct lm_pool *s, const struct lm_answer *a, int64_t now);
+bool lm_make_report(struct lm_pool *s, int64_t now, struct lm_report *out);
+void lm_apply_grant(struct lm_pool *s, const struct lm_grant *a, int64_t now);
 /* The permits of the node have expired. */
 void lm_void(struct lm_pool *s);
-/* Called for a new leader, which does not know the permits of this node: the next lm_wants
- * reports them in any case. */
+/* Called for a new leader, which does not know the permits of this node: the next
+ * lm_make_report reports them in any case. */
 void lm_tell_anew(struct lm_pool *s);
 
 #endif
--- a/limit/stock.c
+++ b/limit/stock.c
@@ -127,7 +127,7 @@
 
 /* Used permits are reported with the next renewal: as long as the leader counts them as
  * outstanding, it can't grant others. */
-bool lm_wants(struct lm_pool *s, int64_t now, struct lm_report *out)
+bool lm_make_report(struct lm_pool *s, int64_t now, struct lm_report *out)
 {
     int want = target_size(s, now), held = s->held > 0 ? s->held : 0;
     bool low = s->held < want && held * 2 <= want;
@@ -146,7 +146,7 @@
     return true;
 }
 
-void lm_answered(struct lm_pool *s, const struct lm_answer *a, int64_t now)
+void lm_apply_grant(struct lm_pool *s, const struct lm_grant *a, int64_t now)
 {
     s->held += a->given;
     s->reported_held += a->given;
--- a/proxy/limits.c
+++ b/proxy/limits.c
@@ -112,7 +112,7 @@
             continue;
         if (p->permits_untold)
             lm_tell_anew(&a->stock);
-        if (lm_wants(&a->stock, ck_now(), &m))
+        if (lm_make_report(&a->stock, ck_now(), &m))
             out[r->n_permits++] = (struct wr_permit_ask){
                 sr_from(a->name), (uint32_t)m.held, (uint32_t)m.want, (uint32_t)m.returned};
     }
@@ -137,10 +137,10 @@
     px_permits_renewed(p, sent);
     for (uint32_t i = 0; i < n; i++) {
         char name[AC_NAME];
-        struct lm_answer a = {(int)permits[i].given, CK_MS((int64_t)permits[i].over_ms)};
+        struct lm_grant a = {(int)permits[i].given, CK_MS((int64_t)permits[i].over_ms)};
         if (!sr_copy(name, sizeof(name), permits[i].account) || !name[0])
             continue;
-        lm_answered(&account_of(p, name)->stock, &a, ck_now());
+        lm_apply_grant(&account_of(p, name)->stock, &a, ck_now());
         if (a.given > 0 || a.over_us > 0) /* else they ask anew in a while */
             wake(p, name);
     }
--- a/tests/unit/test_limit.c
+++ b/tests/unit/test_limit.c
@@ -39,7 +39,7 @@
     uint64_t has, seq;
     struct lm_report report;
     bool reports;
-    struct lm_answer answered;
+    struct lm_grant answered;
     bool all;   /* a renewal: it tells of all permits */
     bool knows; /* an answer: the leader was told of all */
 };
@@ -162,7 +162,7 @@
     m->sent = w.now;
     m->has = w.without == FLIGHT ? UINT64_MAX : n->has;
     m->reports =
-        n->hoards ? hoard(&n->stock, &m->report) : lm_wants(&n->stock, w.now, &m->report);
+        n->hoards ? hoard(&n->stock, &m->report) : lm_make_report(&n->stock, w.now, &m->report);
     n->next_renew = w.now + RENEW_US;
 }
 
@@ -180,7 +180,8 @@
     w.knows[in->node] = w.knows[in->node] || in->all;
     m->knows = w.knows[in->node];
     if (in->reports && m->knows)
-        lm_ask(&w.leader, "a", in->life, &in->report, in->has, m->seq, w.now, &m->answered);
+        lm_handle_report(&w.leader, "a", in->life, &in->report, in->has, m->seq, w.now,
+                         &m->answered);
     m->reports = in->reports;
 }
 
@@ -198,7 +199,7 @@
         return;
     n->until = until > n->until ? until : n->until;
     if (m->reports)
-        lm_answered(&n->stock, &m->answered, w.now);
+        lm_apply_grant(&n->stock, &m->answered, w.now);
 }
 
 /* A connection keeps its order: what arrives at a node waits while it is frozen. */
@@ -438,12 +439,12 @@
             bool renews = (t / TICK_US + k) % 200 == 0;
             enum lm_verdict v = op ? lm_take(&stock[k], 0, now) : LM_GO;
             struct lm_report r;
-            struct lm_answer a;
+            struct lm_grant a;
             if (renews || v == LM_WAIT) {
                 lm_renewed(&g, (uint64_t)k + 1, true, now);
-                if (lm_wants(&stock[k], now, &r)) {
-                    lm_ask(&g, "a", (uint64_t)k + 1, &r, UINT64_MAX, 1, now, &a);
-                    lm_answered(&stock[k], &a, now);
+                if (lm_make_report(&stock[k], now, &r)) {
+                    lm_handle_report(&g, "a", (uint64_t)k + 1, &r, UINT64_MAX, 1, now, &a);
+                    lm_apply_grant(&stock[k], &a, now);
                 }
             }
             if (v == LM_WAIT)
@@ -474,24 +475,24 @@
 {
     struct lm_allocator g = {0};
     struct lm_report r = {.want = 1000};
-    struct lm_answer a;
+    struct lm_grant a;
     lm_begin(&g, &tolerance, true, 0);
     lm_set(&g, "none", 0, 0, 1);
     lm_set(&g, "some", 5, 5, 1);
     lm_renewed(&g, 1, true, 1);
-    CU_ASSERT_TRUE(lm_ask(&g, "none", 1, &r, 0, 1, 1, &a));
+    CU_ASSERT_TRUE(lm_handle_report(&g, "none", 1, &r, 0, 1, 1, &a));
     CU_ASSERT(a.given == 0 && a.over_us > 0);
     lm_renewed(&g, 1, true, CK_SEC(60));
-    CU_ASSERT_TRUE(lm_ask(&g, "some", 1, &r, 0, 2, CK_SEC(60), &a));
+    CU_ASSERT_TRUE(lm_handle_report(&g, "some", 1, &r, 0, 2, CK_SEC(60), &a));
     CU_ASSERT(a.given > 0 && a.given <= bound_of(5, 5, false));
     CU_ASSERT_EQUAL((int)lm_out(&g, "some", CK_SEC(60) + LM_LIFE_US), a.given);
     CU_ASSERT_EQUAL((int)lm_out(&g, "some", CK_SEC(62)), 0); /* not renewed, they have ended */
-    CU_ASSERT_FALSE(lm_ask(&g, "unknown", 1, &r, 0, 3, 1, &a));
+    CU_ASSERT_FALSE(lm_handle_report(&g, "unknown", 1, &r, 0, 3, 1, &a));
     lm_sweep(&g);
     lm_set(&g, "some", 5, 5, CK_SEC(62));
     lm_sweep(&g);
-    CU_ASSERT_FALSE(lm_ask(&g, "none", 1, &r, 0, 4, CK_SEC(62), &a));
-    CU_ASSERT_TRUE(lm_ask(&g, "some", 1, &r, 0, 5, CK_SEC(62), &a));
+    CU_ASSERT_FALSE(lm_handle_report(&g, "none", 1, &r, 0, 4, CK_SEC(62), &a));
+    CU_ASSERT_TRUE(lm_handle_report(&g, "some", 1, &r, 0, 5, CK_SEC(62), &a));
     lm_free(&g);
 }
 
--- a/tests/unit/test_permits.c
+++ b/tests/unit/test_permits.c
@@ -11,13 +11,13 @@
 {
     struct lm_allocator g = {0};
     struct lm_report r = {.want = 5};
-    struct lm_answer a;
+    struct lm_grant a;
     lm_begin(&g, &tolerance, true, 0);
     lm_set(&g, "a", 20, 20, 1);
     lm_renewed(&g, 1, true, CK_SEC(5));
-    lm_ask(&g, "a", 1, &r, 0, 1, CK_SEC(5), &a);
+    lm_handle_report(&g, "a", 1, &r, 0, 1, CK_SEC(5), &a);
     lm_renewed(&g, 2, true, CK_SEC(7));
-    lm_ask(&g, "a", 2, &r, 0, 2, CK_SEC(7), &a);
+    lm_handle_report(&g, "a", 2, &r, 0, 2, CK_SEC(7), &a);
     CU_ASSERT_EQUAL(a.given, 5);
     CU_ASSERT_EQUAL((int)lm_out(&g, "a", CK_SEC(7)), 5);
     lm_free(&g);
@@ -39,15 +39,15 @@
         now += CK_MS(1);
         asked += ms * ASKED / 1000 > (ms - 1) * ASKED / 1000;
         struct lm_report r;
-        struct lm_answer a;
+        struct lm_grant a;
         while (served < asked && lm_take(&stock, 0, now) == LM_GO)
             served++;
         lm_renewed(&g, NODE, true, now);
-        if (!lm_wants(&stock, now, &r))
+        if (!lm_make_report(&stock, now, &r))
             continue;
-        lm_ask(&g, "a", NODE, &r, UINT64_MAX, 1, now, &a);
+        lm_handle_report(&g, "a", NODE, &r, UINT64_MAX, 1, now, &a);
         a.over_us = 0; /* it asks again at once */
-        lm_answered(&stock, &a, now);
+        lm_apply_grant(&stock, &a, now);
     }
     CU_ASSERT(served >= asked * 9 / 10);
     lm_free(&g);
@@ -75,7 +75,7 @@
     lm_set(&g, "a", RATE, RATE / 10, now);
     for (int ms = 1; ms <= TICKS; ms++) {
         struct lm_report r;
-        struct lm_answer a;
+        struct lm_grant a;
         now += CK_MS(1);
         int k = ms * ASKED / 1000, seventh = k % FIRST_OF;
         int priority = seventh == 0 ? 0 : seventh < 4 ? 1 : 2;
@@ -92,10 +92,10 @@
         if (ms % RENEW_MS)
             continue;
         lm_renewed(&g, NODE, true, now);
-        if (!lm_wants(&stock, now, &r))
+        if (!lm_make_report(&stock, now, &r))
             continue;
-        lm_ask(&g, "a", NODE, &r, UINT64_MAX, 1, now, &a);
-        lm_answered(&stock, &a, now);
+        lm_handle_report(&g, "a", NODE, &r, UINT64_MAX, 1, now, &a);
+        lm_apply_grant(&stock, &a, now);
     }
     CU_ASSERT(begun[0] >= asked[0] * 9 / 10);
     CU_ASSERT(begun[0] + begun[1] + begun[2] >= RATE * TICKS / 1000 * 9 / 10);
