--- a/catalog/catalog.c
+++ b/catalog/catalog.c
@@ -33,13 +33,13 @@
 
 /* ---- loading ---- */
 
-void cg_take_begin(struct cg_taking *t, const struct cg_codec *codec, struct sr_str text)
+void cg_load_begin(struct cg_loader *t, const struct cg_codec *codec, struct sr_str text)
 {
-    *t = (struct cg_taking){.codec = codec, .codec_state = codec->open(text)};
+    *t = (struct cg_loader){.codec = codec, .codec_state = codec->open(text)};
 }
 
 /* Frees what was needed to sort and check. */
-static void free_check_state(struct cg_taking *t)
+static void free_check_state(struct cg_loader *t)
 {
     ix_free(&t->services);
     od_end(&t->order);
@@ -47,22 +47,22 @@
     t->sorted = NULL;
 }
 
-void cg_take_end(struct cg_taking *t)
+void cg_load_end(struct cg_loader *t)
 {
     if (t->codec)
         t->codec->close(t->codec_state);
     free_check_state(t);
     cg_free(&t->cat);
-    *t = (struct cg_taking){0};
+    *t = (struct cg_loader){0};
 }
 
-static bool has_service(const struct cg_taking *t, const char *group)
+static bool has_service(const struct cg_loader *t, const char *group)
 {
     return group[0] ? ix_get(&t->services, group) != IX_NONE
                     : cg_service(&t->cat, group) != NULL;
 }
 
-static bool check_route(const struct cg_taking *t, const struct cg_route *previous,
+static bool check_route(const struct cg_loader *t, const struct cg_route *previous,
                         const struct cg_route *r, struct er_err *err)
 {
     if (!r->database[0])
@@ -78,7 +78,7 @@
     return true;
 }
 
-static bool begin_check(struct cg_taking *t, struct er_err *err)
+static bool begin_check(struct cg_loader *t, struct er_err *err)
 {
     t->read_done = true;
     if (t->cat.version == 0)
@@ -95,7 +95,7 @@
 }
 
 /* Continues to sort and check after all elements were read. */
-static enum cg_step check_step(struct cg_taking *t, int max, struct er_err *err)
+static enum cg_step check_step(struct cg_loader *t, int max, struct er_err *err)
 {
     struct cg_catalog *c = &t->cat;
     for (; t->n_indexed < c->n_services && max > 0; max--) {
@@ -119,7 +119,7 @@
     return CG_DONE;
 }
 
-static enum cg_step load_step(struct cg_taking *t, int max, struct er_err *err)
+static enum cg_step load_step(struct cg_loader *t, int max, struct er_err *err)
 {
     if (!t->read_done) {
         enum cg_step s = t->codec->read(t->codec_state, &max, &t->cat, err);
@@ -131,7 +131,8 @@
     return check_step(t, max * ROUTES_PER_ELEMENT, err);
 }
 
-enum cg_step cg_take(struct cg_taking *t, int max, struct cg_catalog *out, struct er_err *err)
+enum cg_step cg_load_step(struct cg_loader *t, int max, struct cg_catalog *out,
+                          struct er_err *err)
 {
     enum cg_step s = load_step(t, max, err);
     if (s == CG_DONE) {
@@ -139,13 +140,13 @@
         t->cat = (struct cg_catalog){0};
     }
     if (s != CG_MORE)
-        cg_take_end(t);
+        cg_load_end(t);
     return s;
 }
 
 bool cg_check(struct cg_catalog *c, struct er_err *err)
 {
-    struct cg_taking t = {.cat = *c};
+    struct cg_loader t = {.cat = *c};
     enum cg_step s = begin_check(&t, err) ? CG_MORE : CG_BAD;
     while (s == CG_MORE)
         s = check_step(&t, CG_AT_ONCE, err);
@@ -157,12 +158,12 @@
 bool cg_read(const struct cg_codec *codec, struct sr_str text, struct cg_catalog *out,
              struct er_err *err)
 {
-    struct cg_taking t;
+    struct cg_loader t;
     enum cg_step s = CG_MORE;
     *out = (struct cg_catalog){0};
-    cg_take_begin(&t, codec, text);
+    cg_load_begin(&t, codec, text);
     while (s == CG_MORE)
-        s = cg_take(&t, CG_AT_ONCE, out, err);
+        s = cg_load_step(&t, CG_AT_ONCE, out, err);
     return s == CG_DONE;
 }
 
--- a/catalog/catalog.h
+++ b/catalog/catalog.h
@@ -73,7 +73,7 @@
 
 /* Loads a document in bounded steps, because loading a large one at once would delay everything
  * else that the process does. A zero-initialized loader has no document. */
-struct cg_taking {
+struct cg_loader {
     const struct cg_codec *codec; /* NULL: no document */
     void *codec_state;
     struct cg_catalog cat;    /* what was read so far */
@@ -88,11 +88,12 @@
 enum { CG_AT_ONCE = 1 << 20 }; /* more elements than a document may have */
 
 /* Starts to load a document. The text must outlive the loader. */
-void cg_take_begin(struct cg_taking *t, const struct cg_codec *codec, struct sr_str text);
+void cg_load_begin(struct cg_loader *t, const struct cg_codec *codec, struct sr_str text);
 /* Reads at most `max` elements, or sorts and checks a small multiple of that. On CG_DONE the
  * caller owns *out; on CG_BAD *err is set and *out is unchanged. Both end the loading. */
-enum cg_step cg_take(struct cg_taking *t, int max, struct cg_catalog *out, struct er_err *err);
-void cg_take_end(struct cg_taking *t);
+enum cg_step cg_load_step(struct cg_loader *t, int max, struct cg_catalog *out,
+                          struct er_err *err);
+void cg_load_end(struct cg_loader *t);
 
 /* Loads a document at once. If it is invalid, returns false with *out empty and *err set. */
 bool cg_read(const struct cg_codec *codec, struct sr_str text, struct cg_catalog *out,
--- a/proxy/documents.c
+++ b/proxy/documents.c
@@ -30,7 +30,7 @@
 {
     p->document = p->next_document;
     p->next_document = (struct vw_document){0};
-    cg_take_begin(&p->taking, p->cfg.documents,
+    cg_load_begin(&p->taking, p->cfg.documents,
                   (struct sr_str){p->document.text, p->document.len});
 }
 
@@ -43,7 +43,7 @@
         begin_next(p);
     if (!p->taking.codec)
         return false;
-    enum cg_step step = cg_take(&p->taking, READ_A_TICK, &c, &err);
+    enum cg_step step = cg_load_step(&p->taking, READ_A_TICK, &c, &err);
     if (step == CG_MORE)
         return false;
     if (step == CG_DONE)
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -292,7 +292,7 @@
 
     /* what is in force */
     struct cg_catalog catalog;
-    struct cg_taking taking;          /* of `document` */
+    struct cg_loader taking;          /* of `document` */
     struct vw_document document;      /* is being taken in */
     struct vw_document next_document; /* the newest, if another is being taken in */
     uint64_t document_seen;           /* version of the newest */
--- a/tests/unit/test_documents.c
+++ b/tests/unit/test_documents.c
@@ -129,17 +129,17 @@
 /* No turn reads more than it may, and the parts are what is read at once. */
 static void a_turn_is_bounded(void)
 {
-    struct cg_taking t;
+    struct cg_loader t;
     struct cg_catalog parts, whole;
     struct sr_buf doc = {0};
     put_document(&doc, 7, MANY, "s");
     struct sr_str text = {doc.p, doc.len};
     CU_ASSERT_TRUE_FATAL(cg_read(&pf_documents, text, &whole, NULL));
-    cg_take_begin(&t, &pf_documents, text);
+    cg_load_begin(&t, &pf_documents, text);
     enum cg_step step = CG_MORE;
     for (int turns = 0; step == CG_MORE && turns < MANY; turns++) {
         int read = t.cat.n_routes, placed = t.n_sorted;
-        step = cg_take(&t, A_TURN, &parts, NULL);
+        step = cg_load_step(&t, A_TURN, &parts, NULL);
         CU_ASSERT_TRUE(step == CG_DONE || t.cat.n_routes - read <= A_TURN);
         CU_ASSERT_TRUE(t.n_sorted - placed <= 16 * A_TURN);
     }
