--- a/control/control.c
+++ b/control/control.c
@@ -17,7 +17,7 @@
 
 bool ct_vouched(const struct ct_node *n)
 {
-    return !n->failed && ck_now() < qr_vouched_until(n->q);
+    return !n->failed && ck_now() < qr_sole_leader_until(n->q);
 }
 
 bool ct_in_force(const struct ct_node *n, uint64_t generation)
--- a/control/nodes.c
+++ b/control/nodes.c
@@ -293,7 +293,7 @@
 /* Views that the pace held back. */
 static void push_tick(struct ct_node *n, int64_t now)
 {
-    int64_t heard = qr_vouched_until(n->q) - CK_MS(n->s->election_ms);
+    int64_t heard = qr_sole_leader_until(n->q) - CK_MS(n->s->election_ms);
     int64_t late = CK_MS(n->s->heartbeat_ms) * LATE_HEARTBEATS;
     bool held = !vp_may(&n->pace);
     vp_tick(&n->pace, now - heard, late, now);
@@ -365,7 +365,7 @@
     struct wr_msg m = granted(n, r);
     if (!ls_node_live(&n->giver, c->id, now))
         n->joined_at = now;
-    int64_t us = r->stopping ? 0 : ls_grant(&n->giver, c->id, qr_vouched_until(n->q), now);
+    int64_t us = r->stopping ? 0 : ls_grant(&n->giver, c->id, qr_sole_leader_until(n->q), now);
     m.grant.duration_ms = (uint32_t)(us / 1000);
     if (r->stopping)
         ls_released(&n->giver, c->id);
--- a/quorum/quorum.c
+++ b/quorum/quorum.c
@@ -329,7 +329,7 @@
     return 0;
 }
 
-int64_t qr_vouched_until(const struct qr *q)
+int64_t qr_sole_leader_until(const struct qr *q)
 {
     uint64_t t = 0;
     if (q->role != QR_LEADER || !qc_term_at(q, q->commit, &t) || t != q->term)
--- a/quorum/quorum.h
+++ b/quorum/quorum.h
@@ -180,6 +180,6 @@
 /* Until when a quorum guarantees that no other node leads. 0 if this node does not lead or no
  * entry of its term is committed yet. It is the time at which the newest heartbeat round that a
  * quorum answered was sent, plus the shortest election timeout. */
-int64_t qr_vouched_until(const struct qr *q);
+int64_t qr_sole_leader_until(const struct qr *q);
 
 #endif
--- a/tests/unit/cluster_sim.c
+++ b/tests/unit/cluster_sim.c
@@ -460,7 +460,7 @@
     int first = -1;
     for (int i = 0; i < CS_NODES; i++) {
         const struct node *n = &s->n[i];
-        if (!n->up || s->now >= qr_vouched_until(n->q))
+        if (!n->up || s->now >= qr_sole_leader_until(n->q))
             continue;
         if (first >= 0)
             broken(s, "two leaders are vouched for at a time", (uint64_t)first, (uint64_t)i);
--- a/tests/unit/test_quorum.c
+++ b/tests/unit/test_quorum.c
@@ -237,12 +237,12 @@
 {
     struct qr *q = three(1);
     lead(q, CK_SEC(1));
-    CU_ASSERT_EQUAL(qr_vouched_until(q), 0); /* nothing committed in this term */
+    CU_ASSERT_EQUAL(qr_sole_leader_until(q), 0); /* nothing committed in this term */
     qr_persisted(q, last_seq, CK_SEC(1));
     struct qr_msg ack = {
         .type = QR_APPEND_R, .from = 2, .to = 1, .term = 1, .ok = true, .index = 1, .round = 1};
     qr_receive(q, &ack, CK_MS(1400));
-    CU_ASSERT_EQUAL(qr_vouched_until(q), CK_SEC(1) + CK_MS(250));
+    CU_ASSERT_EQUAL(qr_sole_leader_until(q), CK_SEC(1) + CK_MS(250));
     struct er_err err = {0};
     struct qr_member m = {.id = 9};
     CU_ASSERT_TRUE(qr_add_learner(q, &m, CK_MS(1400), &err));
