--- a/control/control.c
+++ b/control/control.c
@@ -18,7 +18,7 @@
 
 bool ct_quorum_confirmed(const struct ct_node *n)
 {
-    return !n->disk_failed && ck_now() < qr_vouched_until(n->q);
+    return !n->disk_failed && ck_now() < qr_sole_leader_until(n->q);
 }
 
 bool ct_in_force(const struct ct_node *n, uint64_t generation)
--- a/control/control.h
+++ b/control/control.h
@@ -222,8 +222,8 @@
     struct ls_grantor leases;
     struct sh_table shares;
     uint64_t shares_seq;    /* number of the last WR_SHARES message sent */
-    struct lm_giver limits; /* permits of client accounts */
-    uint64_t step_index;    /* log index of the last step proposed for an intent */
+    struct lm_allocator limits; /* permits of client accounts */
+    uint64_t step_index;        /* log index of the last step proposed for an intent */
     int64_t in_force_since; /* when all entry nodes began to act on the view; 0: some do not */
     int64_t next_probe_report, next_intent, next_platform_poll, next_drain_warning;
     bool platform_polled;         /* a request for the platform's list of VMs is outstanding */
--- a/control/nodes.c
+++ b/control/nodes.c
@@ -301,7 +301,7 @@
 /* Sends the views that the pace had deferred as soon as it allows sending again. */
 static void push_deferred_views(struct ct_node *n, int64_t now)
 {
-    int64_t confirmed_at = qr_vouched_until(n->q) - CK_MS(n->s->election_ms);
+    int64_t confirmed_at = qr_sole_leader_until(n->q) - CK_MS(n->s->election_ms);
     int64_t late = CK_MS(n->s->heartbeat_ms) * LATE_HEARTBEAT_INTERVALS;
     bool was_held = !vp_may(&n->pace);
     vp_tick(&n->pace, now - confirmed_at, late, now);
@@ -374,7 +374,7 @@
     struct wr_msg m = make_grant(n, r);
     if (!ls_node_live(&n->leases, c->id, now))
         n->node_joined_at = now;
-    int64_t us = r->stopping ? 0 : ls_grant(&n->leases, c->id, qr_vouched_until(n->q), now);
+    int64_t us = r->stopping ? 0 : ls_grant(&n->leases, c->id, qr_sole_leader_until(n->q), now);
     m.grant.duration_ms = (uint32_t)(us / 1000);
     if (r->stopping)
         ls_released(&n->leases, c->id);
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -159,7 +159,7 @@
 /* A client account at this node. */
 struct px_account {
     char name[AC_NAME];
-    struct lm_stock permits;
+    struct lm_pool permits;
     uint64_t begun, refused; /* operations; refused for the limit */
 };
 
@@ -295,7 +295,7 @@
 
     /* what is in force */
     struct cg_catalog catalog;
-    struct cg_taking loading;            /* of `document` */
+    struct cg_loader loading;            /* of `document` */
     struct vw_document loading_document; /* is being taken in */
     struct vw_document newest_document;  /* the newest, if another is being taken in */
     uint64_t newest_version;             /* version of the newest */
