--- a/promote/evidence.c
+++ b/promote/evidence.c
@@ -1,4 +1,4 @@
-/* What is known of a group's instances, and whether it says that one is down. */
+/* Reports and status of a group's instances; decides whether an instance is down. */
 #include "promote/evidence.h"
 
 #include <stdio.h>
@@ -15,7 +15,6 @@
     return NULL;
 }
 
-/* Let our list follow the view's order, keeping what is known. */
 void pe_sync(struct pr_group *p, const struct vw_group *g)
 {
     struct pr_inst next[VW_MAX_INSTANCES];
--- a/promote/evidence.h
+++ b/promote/evidence.h
@@ -1,22 +1,22 @@
-/* The evidence of a promotion, shared by the parts of the module only. */
+/* Evidence for a promotion: what vantages report of the instances. Used by promote/ only. */
 #ifndef FL_PROMOTE_EVIDENCE_H
 #define FL_PROMOTE_EVIDENCE_H
 
 #include "promote/promote.h"
 
 struct pe_verdict {
-    int domains; /* failure domains from which it is down */
-    int up;      /* vantages that see it up */
+    int domains; /* failure domains that see the instance down */
+    int up;      /* vantages that see the instance up */
     bool refused;
 };
 
-/* The instance of that id; NULL: none. */
+/* The instance with this id, or NULL. */
 struct pr_inst *pe_inst(struct pr_group *p, const char *id);
-/* Let our list follow the view's order, keeping what is known. */
+/* Puts the instances in the order of the view and keeps what is known of them. */
 void pe_sync(struct pr_group *p, const struct vw_group *g);
-/* Reports older than a second count for nothing. */
+/* Sums up the reports of the last second. Older ones are ignored. */
 struct pe_verdict pe_judge(const struct pr_inst *in, int64_t now);
-/* Down from two failure domains, and up from none. */
+/* Whether two failure domains see the instance down and no vantage sees it up. */
 bool pe_says_down(const struct pe_verdict *v);
 bool pe_looks_down(const struct pr_inst *in, int64_t now);
 
--- a/promote/promote.c
+++ b/promote/promote.c
@@ -8,7 +8,7 @@
 enum {
     MAX_PATIENCE_US = 8000000,
     MAX_HOLD_US = 10000000,
-    CALM_US = 60000000,
+    CALM_US = 60000000, /* the backoff is reset after this long without a change */
     RECHECK_US = 20000,
     MAX_RECHECK_US = 1000000,
     HAND_PROBE_US = 2000
@@ -45,7 +45,7 @@
     p->step_at = now;
 }
 
-/* Above every term that anybody has named. */
+/* A term above the view's and above every term that an instance has reported or confirmed. */
 static uint64_t next_term(const struct pr_group *p, const struct vw_group *g)
 {
     uint64_t t = g->term;
@@ -67,11 +67,11 @@
     act(out, PR_DO_REPLACE, g->primary, p->proposed, 0);
 }
 
-/* ---- serving: watch the primary, keep the replicas following ---- */
+/* ---- serving: monitor the primary, keep the replicas following ---- */
 
-/* Whether it is too early for another replacement. What refuses connections is dead, and only
- * the least time is kept; silence may be a flapping network, and the time doubles while it
- * repeats. */
+/* Whether it is too early for another replacement. An instance that refuses connections is
+ * dead, so only the minimum time applies. Silence may come from a flapping network, so that
+ * time doubles while replacements repeat. */
 static bool held_down(const struct pr_group *p, bool refused, int64_t now)
 {
     return now - p->last_end < (refused ? p->cfg.hold_us : p->hold);
@@ -94,8 +94,9 @@
                        struct pr_actions *out)
 {
     if (p->checks_ok > 0 || !pe_looks_down(&p->inst[g->primary], now)) {
-        /* Entry nodes still get answers: it serves, though control can't reach it. Or one had
-         * not noticed yet that its connection broke: ask again, soon at first. */
+        /* Entry nodes still get replies: the primary serves although control can't reach it, or
+         * an entry node has not noticed yet that its connection broke. The check is repeated,
+         * after a short delay at first. */
         if (now - p->step_at > p->recheck) {
             p->recheck *= 2;
             if (p->recheck > MAX_RECHECK_US)
@@ -123,7 +124,8 @@
     }
 }
 
-/* The primary answers, but as something else: it came back without its role. */
+/* Whether the primary is reachable but not primary of the view's term: it restarted without
+ * its role. */
 static bool lost_role(const struct pr_group *p, const struct vw_group *g, int64_t now)
 {
     const struct pr_inst *in = &p->inst[g->primary];
@@ -142,7 +144,7 @@
     p->patience = p->cfg.attempt_us;
     for (int i = 0; i < p->n; i++)
         p->inst[i].asked_at =
-            now - p->cfg.resend_us; /* the replicas are told to follow at once */
+            now - p->cfg.resend_us; /* so that the replicas are told to follow at once */
     enter(p, PR_IDLE, now);
 }
 
@@ -154,7 +156,7 @@
         return;
     }
     if (p->step == PR_PROPOSED) {
-        /* The proposal is on its way into the view, or was lost with a leader. */
+        /* The proposal is not committed yet, or was lost with an earlier leader. */
         if (now - p->step_at >= p->cfg.attempt_us)
             enter(p, PR_IDLE, now);
         return;
@@ -197,7 +199,8 @@
     return n;
 }
 
-/* Highest (term, position) among the fenced; between equals one that is not draining. */
+/* The fenced instance with the highest (term, position); between equals one that is not
+ * draining. */
 static int best_fenced(const struct pr_group *p, const struct vw_group *g)
 {
     int best = -1;
@@ -253,7 +256,7 @@
     act(out, PR_DO_PRIMARY, p->chosen, p->term, p->inst[p->chosen].fenced_pos.pos);
 }
 
-/* What an unplanned and a planned change have in common once enough instances are fenced. */
+/* The steps after enough instances are fenced, the same for planned and unplanned changes. */
 static void after_fencing_tick(struct pr_group *p, int64_t now, struct pr_actions *out)
 {
     if (p->step == PR_PROMOTING)
@@ -262,7 +265,8 @@
         concluding_tick(p, now, out);
 }
 
-/* An instance that takes long to become primary would be given up each time before it is. */
+/* Doubles the time limit: with a fixed limit every attempt would be abandoned before a slow
+ * instance has become primary. */
 static void be_patient(struct pr_group *p)
 {
     p->patience *= 2;
@@ -280,7 +284,7 @@
     enter(p, PR_FENCING, now);
 }
 
-/* Whether an instance obeys a higher term already: this attempt can't succeed. */
+/* Whether an instance follows a higher term already, so that this attempt can't succeed. */
 static bool outbid(const struct pr_group *p)
 {
     for (int i = 0; i < p->n; i++) {
@@ -290,9 +294,9 @@
     return false;
 }
 
-/* Whether the attempt at the view's term is this leader's own and goes on. A replacement that
- * an earlier leader began, one that is stuck and one that is outbid start over under a higher
- * term: an instance may have been promoted without anybody knowing. */
+/* Whether the attempt at the view's term is this leader's own and continues. An attempt that an
+ * earlier leader began, that is stuck or that is superseded starts again under a higher term:
+ * an instance may have been promoted without the leader's knowledge. */
 static bool attempt_goes_on(struct pr_group *p, const struct vw_group *g, int64_t now,
                             struct pr_actions *out)
 {
@@ -323,7 +327,7 @@
         after_fencing_tick(p, now, out);
 }
 
-/* ---- handing: a planned change ---- */
+/* ---- handing: planned change ---- */
 
 static void hand_fence(struct pr_group *p, int i, int64_t every, int64_t now,
                        struct pr_actions *out)
@@ -340,7 +344,7 @@
 {
     const struct pr_inst *old = &p->inst[g->primary], *to = &p->inst[g->target];
     if (!dropped)
-        return; /* statements may still be running at the old primary */
+        return; /* statements may still be running on the old primary */
     if (old->fenced != p->term) {
         hand_fence(p, g->primary, p->cfg.resend_us, now, out);
         return;
@@ -352,8 +356,8 @@
             send_fences(p, g, now, out);
         return;
     }
-    /* Wait for its log by what it says of itself; only then fence it, since a fenced instance
-     * takes no more log of the old term. */
+    /* The successor is fenced only when its status shows that it has the whole log of the old
+     * primary, because a fenced instance accepts no more log of the old term. */
     if (ps_cmp(to->held, old->fenced_pos) >= 0 || to->fenced == p->term)
         hand_fence(p, g->target, HAND_PROBE_US, now, out);
     else
--- a/takeover/takeover.c
+++ b/takeover/takeover.c
@@ -4,13 +4,13 @@
 #include <string.h>
 
 enum {
-    AVOID_US = 2000000,   /* an instance that could not be named is not named again so long */
-    PROPOSAL_US = 500000, /* a proposal that was not committed by then is made anew */
-    FRESH_US = 300000,   /* how long all instances that are up may take to say where they are */
-    DEMOTED_US = 400000, /* a new primary may take so long to say that it is one */
+    AVOID_US = 2000000,   /* how long an instance is skipped after a refused call */
+    PROPOSAL_US = 500000, /* a proposal not committed within this is made again */
+    FRESH_US = 300000, /* how long the reachable instances may take to report their positions */
+    DEMOTED_US = 400000, /* how long a new primary may take to report that it is primary */
 };
 
-/* ---- bookkeeping ---- */
+/* ---- state of the instances ---- */
 
 static struct tk_inst *inst_of(struct tk_group *t, const char *id)
 {
@@ -21,7 +21,7 @@
     return NULL;
 }
 
-/* Let our list follow the view's order, keeping what is known. */
+/* Puts the instances in the order of the view and keeps what is known of them. */
 static void sync(struct tk_group *t, const struct vw_group *g)
 {
     struct tk_inst next[VW_MAX_INSTANCES] = {0};
@@ -49,7 +49,7 @@
     t->target = -1;
     t->step_at = now;
     t->serving_since = now;
-    /* Calls of earlier leaders may be out, for whom can't be known. */
+    /* Calls of earlier leaders may be open, for instances that can't be known. */
     t->open_mixed = true;
 }
 
@@ -98,7 +98,7 @@
         out->a[out->n++] = (struct tk_action){kind, inst, term};
 }
 
-/* ---- judging ---- */
+/* ---- choice of the successor ---- */
 
 static bool down(const struct tk_inst *in)
 {
@@ -110,12 +110,12 @@
 {
     const struct tk_inst *in = &t->inst[i];
     if (g->phase == VW_HANDING && i == g->primary)
-        return false; /* it is to be another */
+        return false; /* the successor must be another instance */
     return in->health == TK_UP && in->said_at && !g->inst[i].draining && now >= in->avoid_until;
 }
 
-/* Among those that can: the one that received most; of equals the one that leads already, so
- * that nothing changes where nothing need change. */
+/* The instance that received most among those that can take over; among equals the one that is
+ * primary already, so that no instance changes its role without need. */
 static int best(const struct tk_group *t, const struct vw_group *g, int64_t now)
 {
     int b = -1;
@@ -129,7 +129,7 @@
     return b;
 }
 
-/* The same among those that are not the view's primary. */
+/* The best candidate among the instances that are not the view's primary. */
 static int best_other(const struct tk_group *t, const struct vw_group *g, int64_t now)
 {
     struct vw_group handing = *g;
@@ -149,7 +149,8 @@
     enter(t, TK_PROPOSED, now);
 }
 
-/* The primary is there: whatever it has acknowledged, the successor is to have first. */
+/* The primary is alive: the successor must first receive every write that the primary has
+ * acknowledged. */
 static void hand_over(struct tk_group *t, const struct vw_group *g, int next, int64_t now,
                       struct tk_actions *out)
 {
@@ -170,7 +171,8 @@
     act(out, TK_DO_CHECK, g->primary, 0);
 }
 
-/* The view's primary does not lead any more: a call that was late, or somebody else's. */
+/* Whether the view's primary reports that it is not primary any more. An earlier call may have
+ * been carried out late, or somebody else may have made one. */
 static bool was_demoted(const struct tk_group *t, const struct tk_inst *p)
 {
     return p->health == TK_UP && p->said_at > t->serving_since + DEMOTED_US && !p->says_primary;
@@ -182,7 +184,7 @@
     const struct tk_inst *p = &t->inst[g->primary];
     int next = best(t, g, now);
     if (was_demoted(t, p)) {
-        snprintf(t->why, sizeof(t->why), "%.48s says that it is no primary", p->id);
+        snprintf(t->why, sizeof(t->why), "%.48s reports that it is not the primary", p->id);
         replace(t, g, now, out);
     } else if (g->inst[g->primary].draining && next >= 0) {
         snprintf(t->why, sizeof(t->why), "%.48s is draining", p->id);
@@ -192,7 +194,7 @@
     }
 }
 
-/* A primary that is there and unfit hands over what it has; otherwise it stays. */
+/* Hands over from a primary that is alive but unfit. Without a successor the primary stays. */
 static bool should_hand_over(struct tk_group *t, const struct vw_group *g, int64_t now,
                              struct tk_actions *out)
 {
@@ -228,7 +230,7 @@
     enter(t, TK_IDLE, now);
 }
 
-/* Instances that are up say where they are after the old term was dropped. */
+/* Whether every reachable instance has reported its position since the old term was dropped. */
 static bool all_fresh(const struct tk_group *t)
 {
     for (int i = 0; i < t->n; i++) {
@@ -244,7 +246,8 @@
         act(out, TK_DO_PROBE, i, 0);
 }
 
-/* A draining primary that is up is followed until the successor has received all of it. */
+/* Whether the successor still lacks writes of a draining primary that is up. The call waits
+ * until the successor has received all of them. */
 static bool successor_lacks(const struct tk_group *t, const struct vw_group *g, int i)
 {
     if (g->phase != VW_HANDING || g->primary < 0 || t->inst[g->primary].health != TK_UP)
@@ -277,8 +280,8 @@
     probe_all(t, out);
 }
 
-/* Nothing can make another instance the primary any more: every call that may be out is fenced
- * by the one that was carried out, or names the same instance. */
+/* Whether no open call can make another instance the primary: every call that may be open is
+ * fenced by the one that was carried out, or names the same instance. */
 static bool conclusive(const struct tk_group *t)
 {
     return t->answered || !t->open_mixed;
@@ -314,14 +317,14 @@
     } else if (what == TK_REFUSED_CALL) {
         if (t->target >= 0 && t->target < t->n)
             t->inst[t->target].avoid_until = now + AVOID_US;
-        t->step_at = now - t->cfg.answer_us; /* the next attempt begins at once */
+        t->step_at = now - t->cfg.answer_us; /* makes the next attempt begin at once */
     }
 }
 
 static void changing(struct tk_group *t, const struct vw_group *g, bool dropped, int64_t now,
                      struct tk_actions *out)
 {
-    if (g->term != t->term) { /* begun by an earlier leader, or a primary that left */
+    if (g->term != t->term) { /* begun by an earlier leader, or by a primary that left */
         if (t->step != TK_PROPOSED || now - t->step_at > PROPOSAL_US)
             replace(t, g, now, out);
         return;
@@ -340,7 +343,7 @@
     }
 }
 
-/* The instance that was named left, or the list moved under it. */
+/* Whether the instance that was called has left, or its index names another instance now. */
 static bool target_moved(const struct tk_group *t, const struct vw_group *g)
 {
     if (t->target < 0)
@@ -370,7 +373,7 @@
         enter(t, TK_IDLE, now);
     }
     if (g->primary < 0)
-        return; /* none was ever named */
+        return; /* the group never had a primary */
     if (t->step == TK_PROPOSED && now - t->step_at > PROPOSAL_US)
         enter(t, TK_IDLE, now);
     if (t->step == TK_IDLE)
