--- a/view/json.c
+++ b/view/json.c
@@ -41,7 +41,7 @@
     if (!v && !must)
         return true;
     if (!json_is_string(v))
-        return er_set(err, ER_BAD_INPUT, "%s: expected text", key);
+        return er_set(err, ER_BAD_INPUT, "%s: expected a string", key);
     struct sr_str s = {json_string_value(v), json_string_length(v)};
     if (!sr_copy(dst, cap, s))
         return er_set(err, ER_TOO_LARGE, "%s: %zu bytes, expected under %zu", key, s.len, cap);
@@ -74,7 +74,7 @@
             return true;
         }
     }
-    return er_set(err, ER_BAD_INPUT, "%s: '%s' is not known", key, s ? s : "");
+    return er_set(err, ER_BAD_INPUT, "%s: unknown value '%s'", key, s ? s : "");
 }
 
 /* ---- instances and groups ---- */
@@ -109,7 +109,7 @@
     return true;
 }
 
-/* Oldest first: names, or a name with the start of the instance that left. */
+/* The departed instances, oldest first: an id, or a pair of id and start. */
 static json_t *left_json(const struct vw_view *v)
 {
     json_t *a = json_array();
@@ -169,7 +169,7 @@
     return true;
 }
 
-/* `least`: instances it must have; one whose instances have all left has none. */
+/* A group in a view may have no instance, if all of them left; a new group needs one. */
 static bool group_parse(const json_t *j, size_t least, struct vw_group *g, struct er_err *err)
 {
     memset(g, 0, sizeof(*g));
@@ -255,7 +255,7 @@
     json_object_set_new(j, "text", json_stringn(text.p, text.len));
 }
 
-/* `text` points into `j`. */
+/* On success `text` points into `j`. */
 static bool document_parse(const json_t *j, uint64_t *version, struct sr_str *text,
                            struct er_err *err)
 {
@@ -347,7 +347,7 @@
     return j;
 }
 
-/* A view owns its document's text; without one it has none. */
+/* Copies the text of the document, which the view owns. A view may have no document. */
 static bool own_document(const json_t *j, struct vw_document *d, struct er_err *err)
 {
     struct sr_str text;
@@ -361,7 +361,7 @@
     return true;
 }
 
-/* Sorted by name, in whatever order they are listed. */
+/* Inserts the groups sorted by name; the input may be in any order. */
 static bool groups_parse(const json_t *a, struct vw_view *v, struct er_err *err)
 {
     for (size_t i = 0; i < json_array_size(a); i++) {
--- a/view/push.c
+++ b/view/push.c
@@ -1,17 +1,18 @@
 #include "view/push.h"
 
 enum {
-    /* At first: two thirds of a link of 100 Mbit/s, so that 300 nodes that come back have 1.2
-     * MB in 0.1 s, and 9 MB within 2 s. */
+    /* The initial rate is two thirds of a link of 100 Mbit/s: 300 nodes that reconnect get 1.2
+     * MB in 0.1 s and 9 MB within 2 s. */
     START = 8000000,
-    LEAST = 1000000,  /* a document still reaches 100 nodes in 3 s */
-    MOST = 100000000, /* of the order of a link of 1 Gbit/s */
-    /* Goes out at once: 30 ms of a link of 100 Mbit/s, all views of a small deployment. */
+    LEAST = 1000000,  /* a document still reaches 100 nodes within 3 s */
+    MOST = 100000000, /* about the rate of a link of 1 Gbit/s */
+    /* What may be sent at once: 30 ms of a link of 100 Mbit/s, which is enough for all views of
+     * a small deployment. */
     BURST = 384 * 1024,
-    SLOWER_EVERY_US = 200000, /* until a lower rate shows in what is heard */
+    SLOWER_EVERY_US = 200000, /* until a lower rate has an effect on the quorum's replies */
     SECOND_US = 1000000,
-    /* Batches of news: a thousand views a second, of which each is five messages at the
-     * leader; and well within the time for which a node's lease outlives its renewal. */
+    /* Batches are limited to a thousand views a second, each of which is five messages at the
+     * leader. The delay stays well below the time for which a lease outlives its renewal. */
     NEWS_A_NODE_US = 1000,
     NEWS_MOST_US = 300000,
 };
@@ -41,7 +42,7 @@
         slow_down(p, now);
         return;
     }
-    if (p->credit <= 0) /* it is used to the full: twice as fast after a second */
+    if (p->credit <= 0) /* the whole rate is used: it doubles within a second */
         p->rate = within(p->rate + p->rate * passed / SECOND_US, LEAST, MOST);
     p->credit = within(p->credit + p->rate * passed / SECOND_US, -MOST, BURST);
 }
--- a/view/push.h
+++ b/view/push.h
@@ -1,12 +1,13 @@
-/* How fast a leader sends views to entry nodes.
+/* Limits the rate at which a leader sends views to entry nodes.
  *
- * Pattern: a change concerns all nodes at once. A document of 1,500 routes takes 31 KB
- * deflated; to 300 nodes that is 9 MB, 0.7 s of a link of 100 Mbit/s, and heartbeats in line
- * behind it come later than an election takes: on a day with such documents each brought two or
- * three leaders, who sent it again. So views go out at a rate, and not while the voters' last
- * answer is late; the rate follows from that answer alone, as the link's is not known.
+ * A change concerns all nodes at once. A document of 1,500 routes takes 31 KB deflated; sent to
+ * 300 nodes it is 9 MB, which occupies a link of 100 Mbit/s for 0.7 s. Heartbeats queued behind
+ * it are later than the election timeout, so each such document caused two or three elections,
+ * and every new leader sent the document again. Therefore views are sent at a limited rate, and
+ * not while the voters' latest reply is late. The rate is adapted by the delay of that reply
+ * only, because the bandwidth of the link is unknown.
  *
- * Pure. */
+ * Pure; called by the control leader. */
 #ifndef FL_VIEW_PUSH_H
 #define FL_VIEW_PUSH_H
 
@@ -14,36 +15,38 @@
 #include <stdint.h>
 
 struct vp_pace {
-    int64_t rate;      /* bytes a second; 0: not begun */
-    int64_t credit;    /* bytes that may go out now */
-    int64_t at;        /* of the last tick */
-    int64_t slowed_at; /* when the rate was lowered last */
+    int64_t rate;      /* bytes per second; 0 before the first tick */
+    int64_t credit;    /* bytes that may be sent now; negative after an overrun */
+    int64_t at;        /* time of the latest tick */
+    int64_t slowed_at; /* when the rate was last lowered */
 };
 
-/* Regularly, while leading. `lag_us`: since the newest heartbeat that a quorum has answered was
- * sent; above `bound_us` it is late. */
+/* Called regularly while leading. `lag_us` is the time since the newest heartbeat that a quorum
+ * has acknowledged was sent; above `bound_us` the quorum's reply is late. */
 void vp_tick(struct vp_pace *p, int64_t lag_us, int64_t bound_us, int64_t now);
-/* Whether another view may go out now. */
+/* Whether another view may be sent now. */
 bool vp_may(const struct vp_pace *p);
-/* The same for a node that lacks the view. Held back, it is *due: offered again in the ticks
- * that follow, since a node has no lease without the view and asks again only 0.2 s later. */
+/* Whether the view may be sent now to a node that lacks it. If not, *due is set and the caller
+ * tries again in the following ticks, because a node has no lease without the view and asks
+ * again only 0.2 s later. */
 bool vp_take(const struct vp_pace *p, bool *due);
-/* One of so many bytes went out. */
+/* A view of this many bytes was sent. */
 void vp_spent(struct vp_pace *p, int64_t bytes);
 
-/* News that can wait a moment for more of its kind.
+/* Collects changes that can be delayed and sent to the nodes together.
  *
- * Pattern: hundreds of instances come at once, each a change that goes to every node, which
- * acknowledges it and asks for connections. Zero-initialised: the first goes out at once. */
+ * Hundreds of instances may register at once. Each is a change that is sent to every node, and
+ * every node acknowledges it and asks for connections. Zero-initialized: the first change is
+ * sent at once. */
 struct vp_news {
-    int64_t next; /* the earliest time of the next batch */
-    bool waits;   /* changes that did not go out yet */
+    int64_t next; /* earliest time of the next batch */
+    bool waits;   /* changes are not sent yet */
 };
 
-/* The view changed, as `nodes` nodes have to learn. Whether it goes out now; what waited goes
- * with it. If not, vp_news_due will say when. */
+/* A change of the view has to be sent to `nodes` nodes. Returns whether it is sent now,
+ * together with the pending changes; if not, vp_news_due returns true when it is time. */
 bool vp_changed(struct vp_news *w, bool can_wait, int nodes, int64_t now);
-/* Regularly: whether what waits goes out now. */
+/* Called regularly: whether the pending changes are sent now. */
 bool vp_news_due(struct vp_news *w, int nodes, int64_t now);
 
 #endif
--- a/view/view.c
+++ b/view/view.c
@@ -48,7 +48,7 @@
     return -1;
 }
 
-/* The place of the newest entry of that id, -1 none. */
+/* Index of the newest entry with this id in the ring of departed instances, or -1. */
 static int left_at(const struct vw_view *v, const char *id)
 {
     int n = v->n_left < VW_MAX_LEFT ? v->n_left : VW_MAX_LEFT;
@@ -97,7 +97,7 @@
     if (vw_group(v, d->name))
         return er_set(err, ER_CONFLICT, "group %s exists already", d->name);
     if (v->n >= VW_MAX_GROUPS)
-        return er_set(err, ER_TOO_LARGE, "%d groups are the most", VW_MAX_GROUPS);
+        return er_set(err, ER_TOO_LARGE, "%d groups exist, the maximum", VW_MAX_GROUPS);
     if (d->n < 1)
         return er_set(err, ER_BAD_INPUT, "group %s has no instance", d->name);
     if (d->copies < 1 || d->copies > d->n)
@@ -125,7 +125,7 @@
                           struct er_err *err)
 {
     if (g->phase == VW_SERVING || ch->term != g->term)
-        return er_set(err, ER_STALE_PLAN, "group %s: no change of primary to term %llu pending",
+        return er_set(err, ER_STALE_PLAN, "group %s: no pending change of primary to term %llu",
                       g->name, (unsigned long long)ch->term);
     return true;
 }
@@ -145,15 +145,15 @@
     for (int i = 0; i < v->n_intents; i++) {
         const struct vw_intent *o = &v->intents[i];
         if (strcmp(o->id, it->id) == 0)
-            return er_set(err, ER_CONFLICT, "intent %s is known already", it->id);
+            return er_set(err, ER_CONFLICT, "intent %s exists already", it->id);
         if (o->number == it->number)
-            return er_set(
-                err, ER_CONFLICT,
-                "number %llu was taken by %s with intent %s; plan again with the next",
-                (unsigned long long)it->number, o->who, o->id);
+            return er_set(err, ER_CONFLICT,
+                          "number %llu is used by %s for intent %s; plan again with the next",
+                          (unsigned long long)it->number, o->who, o->id);
         if (o->state == VW_RUNNING && it->kind != VW_IT_RULE && o->kind != VW_IT_RULE &&
             strcmp(o->args, it->args) == 0)
-            return er_set(err, ER_CONFLICT, "intent %s by %s does this already", o->id, o->who);
+            return er_set(err, ER_CONFLICT, "intent %s by %s already does the same", o->id,
+                          o->who);
     }
     return true;
 }
@@ -162,15 +162,15 @@
                            struct er_err *err)
 {
     if (ch->version <= v->doc.version)
-        return er_set(err, ER_STALE_PLAN, "document %llu is not above %llu",
+        return er_set(err, ER_STALE_PLAN, "document version %llu, expected above %llu",
                       (unsigned long long)ch->version, (unsigned long long)v->doc.version);
     if (ch->text.len > VW_DOCUMENT_MAX)
-        return er_set(err, ER_TOO_LARGE, "a document of %zu bytes, expected at most %d",
+        return er_set(err, ER_TOO_LARGE, "document of %zu bytes, expected at most %d",
                       ch->text.len, VW_DOCUMENT_MAX);
     return true;
 }
 
-/* An instance that comes for another at the same address takes its place. */
+/* Index of the instance at the same address, which a joining instance replaces, or -1. */
 static int at_address(const struct vw_group *g, const struct vw_instance *in)
 {
     for (int i = 0; i < g->n; i++) {
@@ -187,12 +187,13 @@
         return er_set(err, ER_CONFLICT, "instance %s is in group %s already", ch->inst.id,
                       owner->name);
     if (!ch->group[0] || (!g && v->n >= VW_MAX_GROUPS))
-        return er_set(err, ER_TOO_LARGE, "group \"%s\": %d groups are the most", ch->group,
-                      VW_MAX_GROUPS);
+        return er_set(err, ER_TOO_LARGE, "group \"%s\": empty name, or %d groups exist",
+                      ch->group, VW_MAX_GROUPS);
     if (vw_is_late(v, ch->inst.id, ch->inst.born))
         return er_set(err, ER_STALE_PLAN, "instance %s has left", ch->inst.id);
     if (g && !owner && g->n >= VW_MAX_INSTANCES && at_address(g, &ch->inst) < 0)
-        return er_set(err, ER_CONFLICT, "group %s has %d instances, the most", g->name, g->n);
+        return er_set(err, ER_CONFLICT, "group %s has %d instances, the maximum", g->name,
+                      g->n);
     return true;
 }
 
@@ -201,15 +202,15 @@
 {
     const struct vw_group *owner = vw_owner(v, in->id);
     if (g->n >= VW_MAX_INSTANCES || vw_instance(g, in->id) >= 0)
-        return er_set(err, ER_CONFLICT, "group %s: %s is there or %d are the most", g->name,
-                      in->id, VW_MAX_INSTANCES);
+        return er_set(err, ER_CONFLICT, "group %s: %s exists or %d instances are the maximum",
+                      g->name, in->id, VW_MAX_INSTANCES);
     if (owner)
         return er_set(err, ER_CONFLICT, "instance %s is in group %s already", in->id,
                       owner->name);
     return true;
 }
 
-/* Changes that are about an instance which the group must have. */
+/* Whether the change names an instance that must be in the group. */
 static bool needs_instance(enum vw_change_kind kind)
 {
     return kind == VW_CH_HAND || kind == VW_CH_PRIMARY || kind == VW_CH_DRAIN ||
@@ -235,7 +236,8 @@
         return check_term(g, ch, err);
     case VW_CH_ABANDON:
         if (g->phase != VW_HANDING)
-            return er_set(err, ER_STALE_PLAN, "group %s: nothing to give up", g->name);
+            return er_set(err, ER_STALE_PLAN, "group %s: no planned change to abandon",
+                          g->name);
         return check_pending(g, ch, err);
     case VW_CH_PRIMARY:
         return check_pending(g, ch, err);
@@ -287,7 +289,8 @@
     v->n++;
 }
 
-/* The oldest finished intent makes room; a running one never does. */
+/* When the list is full, the oldest finished intent is dropped, or the newest if all are
+ * running. */
 static void insert_intent(struct vw_view *v, const struct vw_intent *it, uint64_t index)
 {
     if (v->n_intents >= VW_MAX_INTENTS) {
@@ -332,11 +335,11 @@
     add_start(g, (struct ps_start){term, pos});
 }
 
-/* It is gone. If it was the primary, the group has none until one is chosen under the next
- * term. */
+/* Removes the instance. If it was the primary, the group has no primary until one is chosen
+ * under the next term. */
 static void apply_leave(struct vw_view *v, struct vw_group *g, const char *who)
 {
-    char id[VW_NAME]; /* `who` may point into the group */
+    char id[VW_NAME]; /* copied, as `who` may point into the group */
     sr_copy(id, sizeof(id), sr_from(who));
     int i = vw_instance(g, id);
     bool led = i == g->primary;
@@ -367,7 +370,7 @@
         g->target = i;
         break;
     case VW_CH_ABANDON:
-        /* The old primary takes up the new term in place: terms never go back. */
+        /* The old primary is promoted under the new term, because terms never decrease. */
         g->phase = VW_REPLACING;
         break;
     case VW_CH_PRIMARY:
@@ -409,7 +412,7 @@
     if (i < 0)
         i = g->n++;
     g->inst[i] = ch->inst;
-    /* Only a group that never had a primary takes an instance's word for it. */
+    /* An instance's own report makes it the primary only in a group that never had one. */
     if (ch->flag && g->term == 0)
         set_primary(g, i, 1, 0);
 }
@@ -437,7 +440,7 @@
 bool vw_apply(struct vw_view *v, uint64_t index, const struct vw_change *ch, struct er_err *err)
 {
     if (index <= v->generation)
-        return er_set(err, ER_STALE_PLAN, "change %llu is not above generation %llu",
+        return er_set(err, ER_STALE_PLAN, "change index %llu, expected above generation %llu",
                       (unsigned long long)index, (unsigned long long)v->generation);
     if (!vw_check(v, ch, err))
         return false;
--- a/view/view.h
+++ b/view/view.h
@@ -1,9 +1,9 @@
 /* The replicated configuration: the groups, their primaries and terms, rules and intents.
  *
- * A pure state machine: changes come from the agreement log in order; every node that applies
- * the same changes holds the same view. `generation` is the log index of the last change that
- * was accepted; it only grows. A change that no longer fits is refused by vw_apply and leaves
- * the view as it was, on every node alike. */
+ * A pure state machine: changes come from the replicated log in order, and every node that
+ * applies the same changes has the same view. `generation` is the log index of the last
+ * accepted change; it never decreases. vw_apply refuses a change that does not apply to the
+ * current view and leaves the view unchanged, on every node alike. */
 #ifndef FL_VIEW_VIEW_H
 #define FL_VIEW_VIEW_H
 
@@ -22,10 +22,10 @@
     VW_MAX_STARTS = 16,
     VW_MAX_INTENTS = 256,
     VW_MAX_STEPS = 16,
-    VW_NAME = 48,
-    VW_MAX_LEFT = 16,          /* instances that left, of all groups, remembered */
-    VW_CHANGE_MAX = 8192,      /* bytes of a change as text, but for a document */
-    VW_DOCUMENT_MAX = 1 << 20, /* bytes of a document: some 3,000 routes */
+    VW_NAME = 48,              /* bytes of a name, with its NUL */
+    VW_MAX_LEFT = 16,          /* departed instances that are remembered, of all groups */
+    VW_CHANGE_MAX = 8192,      /* JSON text of a change, except a document */
+    VW_DOCUMENT_MAX = 1 << 20, /* about 3,000 routes */
 };
 
 struct vw_instance {
@@ -33,34 +33,34 @@
     char ip[46];
     int port;
     char domain[VW_NAME];
-    bool draining; /* gets no new work */
-    int max_conns; /* connections it accepts at once */
-    int slots;     /* statements it runs at once */
-    /* Unix milliseconds of its start, by its own clock; 0: not told. It may start again under
-     * its id, and then holds nothing of before. */
+    bool draining; /* the instance gets no new statements */
+    int max_conns; /* connections the instance accepts at once */
+    int slots;     /* statements the instance runs at once */
+    /* Start of the instance in Unix milliseconds, by its own clock; 0: unknown. An instance may
+     * start again under the same id, and then holds no data of the earlier start. */
     int64_t born;
 };
 
-/* What a group's primary is doing. */
+/* State of a group's primary. */
 enum vw_phase {
     VW_SERVING,   /* `primary` serves `term` */
     VW_REPLACING, /* the old term is dropped; a new primary is being chosen */
-    VW_HANDING,   /* planned: writes are parked until the successor has everything */
+    VW_HANDING,   /* planned change: writes are parked until the successor has all writes */
 };
 
 struct vw_group {
     char name[VW_NAME];
     enum vw_phase phase;
-    uint64_t term; /* the term in force, or being prepared */
-    int primary;   /* index into inst; the old one while not serving; -1 before the first */
+    uint64_t term; /* the current term, or the one being prepared */
+    int primary;   /* index into inst; the old primary unless serving; -1: none */
     int target;    /* VW_HANDING: index of the successor */
     int n;
     struct vw_instance inst[VW_MAX_INSTANCES];
     int n_starts;
-    struct ps_start starts[VW_MAX_STARTS]; /* ascending; the oldest are dropped */
-    int64_t max_age_ms;                    /* the longest age a read may accept here */
+    struct ps_start starts[VW_MAX_STARTS]; /* ascending; the oldest are dropped first */
+    int64_t max_age_ms;                    /* maximum age that a read may accept */
     int copies;                            /* instances that must hold an acknowledged write */
-    bool degraded;                         /* confirmed: accept writes with fewer copies */
+    bool degraded;                         /* the operator allows writes with fewer copies */
 };
 
 enum vw_intent_kind {
@@ -74,22 +74,22 @@
 enum vw_intent_state { VW_RUNNING, VW_DONE, VW_FAILED };
 
 struct vw_intent {
-    char id[VW_NAME]; /* the operator's, for resends */
+    char id[VW_NAME]; /* given by the operator; identifies a resent intent */
     char who[VW_NAME];
     uint64_t number;
     enum vw_intent_kind kind;
     enum vw_intent_state state;
     int step, n_steps;
-    uint64_t confirmed_at; /* generation */
+    uint64_t confirmed_at; /* generation of the confirmation */
     char digest[24];
-    char args[1024]; /* JSON text as the operator gave it */
-    char note[160];  /* why it failed, or what it waits for */
+    char args[1024]; /* JSON text as received from the operator */
+    char note[160];  /* why the intent failed, or what it waits for */
 };
 
-/* A configuration that operators send as a whole. The text is kept as it came, since it is read
- * back as it was sent; catalog/ says what it means. */
+/* The configuration document that operators send as a whole. The text is stored unchanged,
+ * because operators read back exactly what they sent. catalog/ parses it. */
 struct vw_document {
-    uint64_t version; /* the operators' number, only grows; 0: none yet */
+    uint64_t version; /* assigned by operators, always increases; 0: no document yet */
     char *text;       /* owned; NUL-ended */
     size_t len;
 };
@@ -101,28 +101,28 @@
     struct vw_group *groups; /* sorted by name */
     int n_intents;
     struct vw_intent *intents; /* oldest first */
-    int n_left;                /* ever; `left` is a ring */
-    /* ids of instances that left: a late call brings none back */
+    int n_left;                /* total count; `left` is a ring */
+    /* ids of instances that left: a late registration of these is refused */
     char left[VW_MAX_LEFT][VW_NAME];
-    int64_t left_born[VW_MAX_LEFT]; /* of the one that left */
+    int64_t left_born[VW_MAX_LEFT]; /* `born` of the departed instances */
 };
 
 enum vw_change_kind {
     VW_CH_GROUP,    /* create a group: `group` whole */
     VW_CH_REPLACE,  /* begin an unplanned change of primary: group, term */
-    VW_CH_HAND,     /* begin a planned one: group, term, instance (the successor) */
-    VW_CH_ABANDON,  /* a planned one is given up: group, term; the old primary serves on */
+    VW_CH_HAND,     /* begin a planned change: group, term, instance (the successor) */
+    VW_CH_ABANDON,  /* abandon a planned change, the old primary serves on: group, term */
     VW_CH_PRIMARY,  /* a new primary serves: group, term, instance, pos (start of the term) */
     VW_CH_DRAIN,    /* group, instance, flag */
     VW_CH_RULE,     /* group, max_age_ms */
-    VW_CH_ADD,      /* group, inst: a new instance, caught up or not */
+    VW_CH_ADD,      /* a new instance, caught up or not: group, inst */
     VW_CH_REMOVE,   /* group, instance */
     VW_CH_INTENT,   /* an operator confirmed `intent` */
     VW_CH_PROGRESS, /* intent id, step, state, note */
     VW_CH_DOCUMENT, /* version, text: the configuration document, whole */
-    VW_CH_JOIN,  /* group, inst, flag (it says that it is the primary): an instance registered
-                    itself; the group is made if need be */
-    VW_CH_LEAVE, /* group, instance: it is gone, whatever it was */
+    VW_CH_JOIN,  /* an instance registered itself; a missing group is created: group, inst, flag
+                    (the instance reports that it is primary) */
+    VW_CH_LEAVE, /* an instance deregistered, in whatever role: group, instance */
     VW_CH_COUNT
 };
 
@@ -136,32 +136,34 @@
     struct vw_group def;     /* VW_CH_GROUP */
     struct vw_instance inst; /* VW_CH_ADD, VW_CH_JOIN */
     uint64_t version;        /* VW_CH_DOCUMENT */
-    struct sr_str text;      /* VW_CH_DOCUMENT; belongs to what it was parsed from */
+    struct sr_str text;      /* VW_CH_DOCUMENT; points into the parsed JSON */
     struct vw_intent intent; /* VW_CH_INTENT, VW_CH_PROGRESS */
 };
 
 void vw_init(struct vw_view *v);
 void vw_free(struct vw_view *v);
 
-/* Apply the change that stands at `index` of the log. False, nothing changed and *err filled
- * if it does not fit. A change at or below the generation is refused: never backwards. */
+/* Applies the change at `index` of the log. Returns false with *err set and the view unchanged
+ * if the change does not apply. A change at or below the generation is refused, so that the
+ * generation never decreases. */
 bool vw_apply(struct vw_view *v, uint64_t index, const struct vw_change *ch,
               struct er_err *err);
-/* The same check without applying. */
+/* Checks a change like vw_apply without applying it. */
 bool vw_check(const struct vw_view *v, const struct vw_change *ch, struct er_err *err);
 
 struct vw_group *vw_group(const struct vw_view *v, const char *name);
 int vw_instance(const struct vw_group *g, const char *id);
-/* Whether an instance of that id left not long ago. */
+/* Whether an instance with this id is among the latest VW_MAX_LEFT that left. */
 bool vw_has_left(const struct vw_view *v, const char *id);
-/* Whether one that was born then is such an instance, or an earlier one of its id. */
+/* Whether the instance that started at `born` is such a departed instance, or an earlier start
+ * under the same id. */
 bool vw_is_late(const struct vw_view *v, const char *id, int64_t born);
-/* The group that has an instance of that id, NULL none: ids are unique in a cluster, since
- * shares, probes and evidence go by them. */
+/* The group of the instance with this id, or NULL. Ids are unique in a cluster, because shares,
+ * probes and evidence are keyed by them. */
 const struct vw_group *vw_owner(const struct vw_view *v, const char *id);
 const struct vw_intent *vw_intent(const struct vw_view *v, const char *id);
 
-/* As text. Decoders take untrusted bytes; unknown keys are ignored. */
+/* Conversion to and from JSON. Parsers take untrusted input and ignore unknown keys. */
 json_t *vw_change_json(const struct vw_change *ch);
 bool vw_change_parse(const json_t *j, struct vw_change *ch, struct er_err *err);
 json_t *vw_view_json(const struct vw_view *v);
