--- a/intent/intent.c
+++ b/intent/intent.c
@@ -7,14 +7,15 @@
 
 #include <xxhash.h>
 
-/* ---- reading ---- */
+/* ---- parsing ---- */
 
 static bool text(const json_t *o, const char *key, char *dst, size_t cap, struct er_err *err)
 {
     const json_t *v = json_object_get(o, key);
     struct sr_str s = {json_string_value(v), json_string_length(v)};
     if (!s.p || s.len == 0 || !sr_copy(dst, cap, s))
-        return er_set(err, ER_BAD_INPUT, "%s: expected text of 1 to %zu bytes", key, cap - 1);
+        return er_set(err, ER_BAD_INPUT, "%s: expected a string of 1 to %zu bytes", key,
+                      cap - 1);
     return true;
 }
 
@@ -24,7 +25,7 @@
     json_t *probe =
         json_pack("{s:s,s:O}", "name", r->group, "instances", json_object_get(o, "instances"));
     if (!probe)
-        return er_set(err, ER_BAD_INPUT, "instances: expected a list");
+        return er_set(err, ER_BAD_INPUT, "instances: expected an array");
     bool ok = vw_group_parse(probe, &g, err);
     json_decref(probe);
     if (!ok)
@@ -188,14 +189,15 @@
             return er_set(err, ER_CONFLICT, "%s is a member already", m->m[i].name);
     }
     if (!old)
-        return er_set(err, ER_BAD_INPUT, "no member %llx", (unsigned long long)r->old_id);
+        return er_set(err, ER_BAD_INPUT, "no control member %llx",
+                      (unsigned long long)r->old_id);
     step(p, "%s (%s:%d) joins as a learner", r->fresh.name, r->fresh.ip, r->fresh.port);
     step(p, "wait until it holds everything, then it votes");
     step(p, "%s is removed", old->name);
     return true;
 }
 
-/* Digest over the request and the part of the world that the plan depends on. */
+/* Digest over the request, the steps, and the state that the plan depends on. */
 static void digest(const struct vw_group *g, const struct qr_members *m,
                    const struct it_request *r, struct it_plan *p)
 {
@@ -276,7 +278,7 @@
     snprintf(a->change.instance, sizeof(a->change.instance), "%s", inst ? inst : "");
 }
 
-/* Hand the primary's role to an instance that is wanted and caught up. */
+/* Hands the primary's role to an instance that stays in the group and is caught up. */
 static void hand_off(const struct vw_group *g, const struct it_request *r,
                      const struct it_facts *f, struct it_action *a)
 {
@@ -322,7 +324,7 @@
     int i = vw_instance(g, r->instance);
     a->kind = IT_DONE;
     if (i >= 0 && g->inst[i].draining)
-        change(a, VW_CH_DRAIN, g, r->instance); /* without the flag: not any more */
+        change(a, VW_CH_DRAIN, g, r->instance); /* flag not set: draining ends */
 }
 
 static bool move_add(const struct vw_group *g, const struct it_request *r, struct it_action *a)
@@ -375,7 +377,7 @@
     } else if ((i = first_old(g, r, true)) < 0) {
         a->kind = IT_DONE;
     } else if (!f->in_force) {
-        /* Until then a node may count the leaving instance as a holder of a write. */
+        /* Until then a node may count the leaving instance as a copy of a write. */
         wait_for(a, "not every entry node acts on the drain yet");
     } else {
         change(a, VW_CH_REMOVE, g, g->inst[i].id);
--- a/tests/unit/test_text.c
+++ b/tests/unit/test_text.c
@@ -203,7 +203,7 @@
     struct wr_msg m;
     struct er_err err = {0};
     CU_ASSERT_FALSE(wr_decode(&d, rows[1].bytes.p, rows[1].bytes.len, &m, &err));
-    CU_ASSERT_PTR_NOT_NULL(strstr(err.text, "claims more"));
+    CU_ASSERT_PTR_NOT_NULL(strstr(err.text, "announces more"));
     wr_decoder_free(&d);
 }
 
--- a/wire/claims.c
+++ b/wire/claims.c
@@ -16,7 +16,7 @@
     return true;
 }
 
-/* A big-endian number of that many bytes. */
+/* Reads a big-endian number of this many bytes. */
 static bool number(struct scan *s, int bytes, uint64_t *out)
 {
     const unsigned char *p = s->p;
@@ -28,14 +28,15 @@
     return true;
 }
 
-/* A text of 1, 2 or 4 bytes of length, and `more` bytes of its type. */
+/* Skips a string, binary or extension value: a length of 1, 2 or 4 bytes, that many bytes of
+ * content, and `more` bytes for the extension type. */
 static bool sized(struct scan *s, int bytes, int more)
 {
     uint64_t n;
     return number(s, bytes, &n) && skip(s, n + (uint64_t)more);
 }
 
-/* Of a value that is no list: its bytes after the first one. */
+/* Skips the bytes after the first one of a value that is no array or map. */
 static bool plain(struct scan *s, unsigned char type)
 {
     static const unsigned char fixed[] = {
@@ -54,7 +55,7 @@
     return skip(s, fixed[type - 0xc0]);
 }
 
-/* Whether it begins a list or a map, and of how many values. */
+/* Sets *is if the type byte begins an array or a map, and *n to the number of its values. */
 static bool list(struct scan *s, unsigned char type, bool *is, uint64_t *n)
 {
     bool map = (type >= 0x80 && type <= 0x8f) || type == 0xde || type == 0xdf;
@@ -71,7 +72,7 @@
 bool cm_holds(const char *data, size_t len)
 {
     struct scan s = {(const unsigned char *)data, len};
-    uint64_t due[CM_MAX_DEPTH + 1] = {1}; /* values still to come, by depth */
+    uint64_t due[CM_MAX_DEPTH + 1] = {1}; /* values still to be read, by depth */
     int depth = 0;
     while (due[0] > 0 || depth > 0) {
         bool is_list;
@@ -86,7 +87,7 @@
         unsigned char type = *s.p;
         skip(&s, 1);
         if (type < 0x80 || type >= 0xe0)
-            continue; /* a small number: most of our messages are these */
+            continue; /* a small integer, the most frequent type in a message */
         if (!list(&s, type, &is_list, &n) || (!is_list && !plain(&s, type)))
             return false;
         if (!is_list)
--- a/wire/claims.h
+++ b/wire/claims.h
@@ -1,18 +1,18 @@
-/* Whether a msgpack message holds what its lists and texts claim to hold.
+/* Checks the announced lengths of a msgpack message before it is unpacked.
  *
- * msgpack-c makes room for a list of the length that is claimed before it reads any of it: five
- * hostile bytes ask for 137 GB. An element takes a byte at least, so that a list of more
- * elements than bytes are left is refused before it is unpacked. Pure. */
+ * msgpack-c allocates an array of the announced length before it reads any element: five
+ * hostile bytes request 137 GB. An element takes at least one byte, so an array with more
+ * elements than the message has bytes left is refused before it is unpacked. Pure. */
 #ifndef FL_WIRE_CLAIMS_H
 #define FL_WIRE_CLAIMS_H
 
 #include <stdbool.h>
 #include <stddef.h>
 
-enum { CM_MAX_DEPTH = 32 }; /* lists within lists; our messages have four */
+enum { CM_MAX_DEPTH = 32 }; /* nested arrays; valid messages have four levels */
 
-/* Whether the first value in the bytes is whole, no deeper than that, and what it claims is
- * there. */
+/* Whether the first value in the bytes is complete, nested no deeper than CM_MAX_DEPTH, and has
+ * all the elements and bytes that its lengths announce. */
 bool cm_holds(const char *data, size_t len);
 
 #endif
--- a/wire/decode.c
+++ b/wire/decode.c
@@ -1,4 +1,4 @@
-/* Messages out of msgpack: untrusted. wire/wire.h is the contract. */
+/* Decodes untrusted msgpack messages; wire/wire.h describes them. */
 #include "limit/limit.h"
 #include "route/capacity.h"
 #include "wire/claims.h"
@@ -8,7 +8,7 @@
 
 #include <zlib.h>
 
-/* A cursor over an array; `bad` is set by the first element of a wrong type. */
+/* A cursor over an array. `bad` is set by an element of a wrong type or out of bounds. */
 struct rd {
     const msgpack_object_array *a;
     uint32_t i;
@@ -31,7 +31,7 @@
     return r->bad ? 0 : o->via.u64;
 }
 
-/* An unsigned number with an upper bound. */
+/* Reads an unsigned number of at most `max`. */
 static uint32_t get_max(struct rd *r, uint64_t max)
 {
     uint64_t v = get_u(r);
@@ -92,7 +92,8 @@
     return p;
 }
 
-/* What put_packed wrote; no more than the bound is unpacked, whatever the sender claims. */
+/* Reads what put_packed wrote. At most `max` bytes are inflated, whatever length the sender
+ * announces. */
 static struct sr_str get_packed(struct rd *r, uint64_t max)
 {
     struct sr_str s = get_s(r);
@@ -228,12 +229,12 @@
     return a;
 }
 
-/* The shares that a node may hold now. */
+/* WR_SHARES: the shares that a node may hold now. */
 static void get_told(struct rd *r, struct wr_shares *s)
 {
     s->shares = get_shares(r, &s->n);
     s->seq = get_u(r);
-    s->permits = get_permits(r, &s->n_permits); /* mostly left out */
+    s->permits = get_permits(r, &s->n_permits); /* usually absent */
     s->renewal = get_u(r);
 }
 
@@ -252,7 +253,7 @@
     m->stopping = get_b(r);
     m->shares = get_shares(r, &m->n);
     m->shares_seq = get_u(r);
-    m->leaving = get_b(r); /* mostly left out */
+    m->leaving = get_b(r); /* usually absent */
     m->nodes = get_u(r);
     m->permits = get_permit_asks(r, &m->n_permits);
     m->all_permits = get_b(r);
@@ -264,7 +265,7 @@
     g->hlc = get_u(r);
     g->duration_ms = get_max(r, 3600 * 1000);
     g->generation = get_u(r);
-    g->knows_permits = get_u(r) != 0; /* mostly left out */
+    g->knows_permits = get_u(r) != 0; /* usually absent */
 }
 
 static void get_check(struct rd *r, struct wr_check *c)
@@ -309,8 +310,9 @@
     }
 }
 
-/* Only lists and maps with a length of 32 bits can claim much; most messages have none, and
- * what else is wrong with them msgpack-c finds by itself. */
+/* Whether a message announces more than it contains. Only arrays and maps with a 32-bit length
+ * can announce large sizes. Most messages have none, and msgpack-c itself detects other errors,
+ * so only messages that may contain such a length are checked. */
 static bool overclaims(const char *data, size_t len)
 {
     enum { LIST_32 = 0xdd, MAP_32 = 0xdf };
@@ -329,7 +331,7 @@
     }
 }
 
-/* A list that came deflated. */
+/* Reads a node list that was sent deflated. */
 static void get_packed_list(struct rd *r, struct wr_nodes *m)
 {
     struct sr_str s = get_packed(r, (uint64_t)WR_MAX_NODES * WR_MAX_NODE_BYTES);
@@ -412,20 +414,19 @@
     size_t off = 0;
     memset(m, 0, sizeof(*m));
     if (overclaims(data, len))
-        return er_set(err, ER_BAD_INPUT, "message of %zu bytes: it claims more than it holds",
-                      len);
+        return er_set(err, ER_BAD_INPUT,
+                      "message of %zu bytes: it announces more than it holds", len);
     msgpack_unpack_return rc = msgpack_unpack(data, len, &off, &d->zone, &o);
     if (rc != MSGPACK_UNPACK_SUCCESS || o.type != MSGPACK_OBJECT_ARRAY || o.via.array.size < 1)
         return er_set(err, ER_BAD_INPUT, "message of %zu bytes: expected a msgpack array", len);
     struct rd r = {&o.via.array, 0, false, &d->zone};
     uint64_t type = get_u(&r);
     if (r.bad || type < WR_HELLO || type > WR_CONTROLS)
-        return er_set(err, ER_BAD_INPUT, "message type %llu is not known",
-                      (unsigned long long)type);
+        return er_set(err, ER_BAD_INPUT, "unknown message type %llu", (unsigned long long)type);
     m->type = (enum wr_type)type;
     get_body(&r, m);
     if (r.bad)
-        return er_set(err, ER_BAD_INPUT, "message type %d: a field of a wrong type or size",
+        return er_set(err, ER_BAD_INPUT, "message type %d: a field has a wrong type or size",
                       (int)m->type);
     return true;
 }
@@ -433,12 +434,12 @@
 const char *wr_hello_wrong(const struct wr_hello *h, const char *cluster, uint64_t id)
 {
     if (h->version != WR_VERSION)
-        return "it speaks another version";
+        return "it uses another protocol version";
     if (!sr_eq(h->cluster, sr_from(cluster)))
         return "it belongs to another cluster";
     if (h->expect && h->expect != id)
-        return "it expects another identity: this data folder is not the one it knew";
-    return h->id ? NULL : "its greeting names no identity";
+        return "it expects another identity: this data folder is not the known one";
+    return h->id ? NULL : "its greeting has no identity";
 }
 
 void wr_decoder_free(struct wr_decoder *d)
--- a/wire/encode.c
+++ b/wire/encode.c
@@ -1,4 +1,4 @@
-/* Messages into msgpack. wire/wire.h is the contract. */
+/* Encodes messages in msgpack; wire/wire.h describes them. */
 #include "wire/wire.h"
 
 #include <stdlib.h>
@@ -30,13 +30,13 @@
     msgpack_pack_bin_body(pk, s.p, s.len);
 }
 
-/* The text deflated, and its length before. */
+/* Writes the deflated text and its original length. */
 static void put_packed(msgpack_packer *pk, struct sr_str s)
 {
     uLongf len = compressBound(s.len);
     Bytef *p = sr_alloc(len);
     if (compress2(p, &len, (const Bytef *)s.p, s.len, Z_BEST_SPEED) != Z_OK)
-        abort(); /* out of memory: the room is enough */
+        abort(); /* out of memory; the buffer is large enough */
     put_s(pk, (struct sr_str){(const char *)p, len});
     put_u(pk, s.len);
     free(p);
@@ -95,7 +95,7 @@
 
 static void put_quorum(msgpack_packer *pk, const struct qr_msg *m)
 {
-    head(pk, WR_QUORUM, m->fresh ? 14 : 13); /* absent: it is not */
+    head(pk, WR_QUORUM, m->fresh ? 14 : 13); /* absent: false */
     put_u(pk, m->type);
     put_u(pk, m->from);
     put_u(pk, m->to);
@@ -118,7 +118,7 @@
 static void put_view(msgpack_packer *pk, const struct wr_view *v)
 {
     bool packed = v->text.len > WR_PACK_ABOVE;
-    head(pk, WR_VIEW, packed ? 4 : 3); /* a length that is absent: as it is */
+    head(pk, WR_VIEW, packed ? 4 : 3); /* without the length the text is not deflated */
     put_u(pk, v->from);
     put_u(pk, v->to);
     if (packed)
@@ -152,7 +152,7 @@
 
 static void put_renew(msgpack_packer *pk, const struct wr_renew *r)
 {
-    /* What is absent reads as zero. */
+    /* An absent field reads as zero, so trailing zero fields are left out. */
     bool all = r->all_permits, permits = r->n_permits > 0 || all;
     bool nodes = r->nodes || permits, leaving = r->leaving || nodes;
     head(pk, WR_RENEW, 6u + leaving + nodes + permits + all);
@@ -228,7 +228,7 @@
     put_node_list(pk, n);
 }
 
-/* A long list goes deflated, at the end; its plain place stays empty then. */
+/* A long list is sent deflated as the last field; the plain list is empty then. */
 static void put_nodes(msgpack_packer *pk, const struct wr_nodes *n)
 {
     bool packed = n->to && n->n > WR_PACK_NODES_ABOVE;
@@ -275,7 +275,7 @@
     }
 }
 
-/* The shares that a node may hold now. */
+/* WR_SHARES: the shares that a node may hold now. */
 static void put_told(msgpack_packer *pk, const struct wr_shares *s)
 {
     head(pk, WR_SHARES, s->n_permits ? 4 : 2);
--- a/wire/wire.h
+++ b/wire/wire.h
@@ -1,8 +1,8 @@
-/* Messages between our processes: msgpack arrays in length-prefixed frames.
+/* Messages between the processes of a cluster: msgpack arrays in length-prefixed frames.
  *
- * The first element is the type. Later versions may append elements: a reader ignores what it
- * does not know, and an absent element reads as zero. A wrong type or a bound overrun makes the
- * whole message invalid. Views of strings point into the decoded message. */
+ * The first element is the message type. Later versions may append elements: a reader ignores
+ * unknown ones, and an absent element reads as zero. An element of a wrong type or out of
+ * bounds makes the whole message invalid. Decoded strings point into the message. */
 #ifndef FL_WIRE_WIRE_H
 #define FL_WIRE_WIRE_H
 
@@ -21,47 +21,47 @@
 };
 
 enum wr_type {
-    WR_HELLO = 1,  /* both ways, first */
+    WR_HELLO = 1,  /* first message in both directions */
     WR_QUORUM,     /* control to control: struct qr_msg */
     WR_RENEW,      /* entry or observer to leader */
-    WR_GRANT,      /* leader to entry; to an observer: I lead, no lease */
-    WR_NOT_LEADER, /* control or observer to entry: who leads, as far as known; itself: elected
-                    */
+    WR_GRANT,      /* leader to entry: a lease; to an observer: the sender leads, no lease */
+    WR_NOT_LEADER, /* control or observer to entry: the leader's name, if known; a sender that
+                       names itself has been elected */
     WR_VIEW,       /* leader to entry: changes or a snapshot */
-    WR_ACK,        /* entry to leader: the generation applied */
-    WR_SHARES,     /* leader to entry: connections it may hold */
-    WR_CHECK,      /* leader to entry: is this instance answering you? */
-    WR_CHECKED,    /* entry to leader */
-    WR_PROBES,     /* control follower to leader: what its probes see */
-    WR_SUSPECT,    /* entry to leader: an instance stopped answering */
-    WR_NODES,      /* leader to entry: the entry nodes that hold a lease, or did a moment ago */
-    WR_CONTROLS,   /* control or observer to whoever connects: where the control nodes are */
+    WR_ACK,        /* entry to leader: the generation that was applied */
+    WR_SHARES,     /* leader to entry: connections the node may hold */
+    WR_CHECK,      /* leader to entry: asks whether an instance replies to the node */
+    WR_CHECKED,    /* entry to leader: the reply to WR_CHECK */
+    WR_PROBES,     /* control follower to leader: results of its probes */
+    WR_SUSPECT,    /* entry to leader: an instance stopped replying */
+    WR_NODES,      /* leader to entry: the entry nodes with a lease or a recently expired one */
+    WR_CONTROLS, /* control or observer to a connecting node: addresses of the control nodes */
 };
 
-enum { WR_TYPES = WR_CONTROLS + 1 }; /* one above the last */
+enum { WR_TYPES = WR_CONTROLS + 1 }; /* one above the highest type */
 
 enum wr_role {
     WR_ROLE_ENTRY = 1,
     WR_ROLE_CONTROL,
-    WR_ROLE_OBSERVER, /* asks the leader who leads; holds no lease, no view, no connections */
+    WR_ROLE_OBSERVER, /* only asks the leader who leads; has no lease, view or connections */
 };
 enum wr_health {
     WR_UNKNOWN,
     WR_OK,
     WR_SILENT,
     WR_REFUSED,
-    WR_UNFIT, /* it is there, and another of its group should lead */
+    WR_UNFIT, /* alive, but another instance of its group should lead */
 };
 
 struct wr_hello {
     uint32_t version;
     struct sr_str cluster, name, domain, ip;
-    uint32_t port; /* where its HTTP answers */
+    uint32_t port; /* control: for other nodes; entry: for callers */
     enum wr_role role;
-    uint64_t id;      /* control: the identity on disk; else drawn at start */
-    uint64_t expect;  /* control: the identity expected of the other side, 0 any */
-    uint32_t carries; /* entry: statements a second (route/capacity.h); 0: not told */
-    uint32_t http;    /* entry: port of its own pages; 0: not told */
+    uint64_t id;      /* control: the identity on disk; others: drawn at start */
+    uint64_t expect;  /* control: the identity expected of the receiver; 0: any */
+    uint32_t carries; /* entry: statements per second (route/capacity.h); 0: unknown */
+    uint32_t http;    /* entry: port of its HTTP interface; 0: unknown */
 };
 
 struct wr_share {
@@ -69,13 +69,14 @@
     uint32_t held, want;
 };
 
-/* Of a client account's permits (limit/limit.h): what a node has and would have. */
+/* The permits of a client account (limit/limit.h) that a node has and wants. */
 struct wr_permit_ask {
     struct sr_str account;
     uint32_t held, want, returned;
 };
 
-/* What it is given; nothing and over_ms: the account is over its limit for so long. */
+/* Permits granted to a node. None granted and over_ms set: the account is over its limit
+ * for that time. */
 struct wr_permit {
     struct sr_str account;
     uint32_t given, over_ms;
@@ -86,34 +87,35 @@
     bool stopping;
     uint32_t n;
     struct wr_share *shares;
-    uint64_t shares_seq; /* of the last WR_SHARES applied */
-    bool leaving; /* it stops soon, keeps its lease till then, and is to hold no group any more
-                   */
-    uint64_t nodes; /* hash of the list of nodes it has (route/nodelist.h); 0: not told */
+    uint64_t shares_seq; /* seq of the latest WR_SHARES that was applied */
+    bool leaving; /* the node stops soon and keeps its lease until then, but must not be chosen
+                     as a holder of a group any more */
+    uint64_t nodes; /* hash of the sender's node list (route/nodelist.h); 0: unknown */
     uint32_t n_permits;
     struct wr_permit_ask *permits;
-    bool all_permits; /* they name every account of which the node has some */
+    bool all_permits; /* `permits` names every account of which the node has permits */
 };
 
 struct wr_grant {
     uint64_t seq, hlc;
-    uint32_t duration_ms; /* counted from the sending of the renewal; 0: refused */
+    uint32_t duration_ms; /* counted from when the renewal was sent; 0: refused */
     uint64_t generation;
-    bool knows_permits; /* this connection brought all_permits: those that are out live on */
+    bool knows_permits; /* the leader got all_permits on this connection: granted permits stay
+                           valid */
 };
 
 struct wr_view {
-    uint64_t from, to; /* from = 0: `text` is a whole view; else a JSON list of changes */
+    uint64_t from, to; /* from = 0: `text` is a whole view; else a JSON array of changes */
     struct sr_str text;
 };
 
 struct wr_shares {
     uint32_t n;
-    struct wr_share *shares; /* held: what the node may hold */
+    struct wr_share *shares; /* `held` is the number the node may hold */
     uint64_t seq;
     uint32_t n_permits;
     struct wr_permit *permits;
-    uint64_t renewal; /* that they answer */
+    uint64_t renewal; /* seq of the renewal that the permits answer */
 };
 
 struct wr_check {
@@ -137,16 +139,16 @@
 struct wr_node {
     struct sr_str name, domain, ip;
     uint32_t port;    /* for callers */
-    uint32_t carries; /* WR_NODES: statements a second; 0: not told */
+    uint32_t carries; /* WR_NODES: statements per second; 0: unknown */
 };
 
-/* WR_CONTROLS: a list. WR_NODES: the way from one list to another (route/nodelist.h). */
+/* WR_CONTROLS: a list. WR_NODES: the difference between two lists (route/nodelist.h). */
 struct wr_nodes {
     uint32_t n;
-    struct wr_node *nodes; /* all, or what came */
-    uint64_t from, to;     /* hashes of the lists; from = 0: `nodes` is all; to = 0: not told */
+    struct wr_node *nodes; /* all nodes, or the added ones */
+    uint64_t from, to;     /* hashes of the lists; from = 0: whole list; to = 0: unknown */
     uint32_t n_gone;
-    struct sr_str *gone; /* names */
+    struct sr_str *gone; /* names of the removed nodes */
 };
 
 struct wr_msg {
@@ -156,7 +158,7 @@
         struct qr_msg quorum;
         struct wr_renew renew;
         struct wr_grant grant;
-        struct sr_str leader; /* WR_NOT_LEADER: name, may be empty */
+        struct sr_str leader; /* WR_NOT_LEADER: name of the leader, may be empty */
         struct wr_view view;
         uint64_t ack;
         struct wr_shares shares;
@@ -173,22 +175,23 @@
 };
 
 enum {
-    /* A view's text of more bytes is sent deflated. Origin: a document of 700 routes shrinks to
-     * a tenth, and nodes have links of 2 Mbit/s (users' pages). */
+    /* A view with a longer text is sent deflated: a document of 700 routes shrinks to a tenth,
+     * and nodes may have links of 2 Mbit/s only. */
     WR_PACK_ABOVE = 1024,
-    WR_MAX_VIEW = 16 << 20, /* bytes that such a text is inflated to at most */
-    /* A list of more nodes is sent deflated: 300 take 11 KB as they are, 2 KB so (counted). */
+    WR_MAX_VIEW = 16 << 20, /* limit of such a text after inflating */
+    /* A longer list of nodes is sent deflated: 300 nodes take 2 KB instead of 11 KB. */
     WR_PACK_NODES_ABOVE = 16,
-    WR_MAX_NODE_BYTES = 256, /* of one such node, at most */
+    WR_MAX_NODE_BYTES = 256, /* limit of one node of such a list after inflating */
 };
 
-/* Append the encoded message to `out`. */
+/* Appends the encoded message to `out`. */
 void wr_encode(struct sr_buf *out, const struct wr_msg *m);
-/* Untrusted bytes in; *m is valid until the next call. False with *err on anything wrong. */
+/* Decodes untrusted bytes. *m is valid until the next call. Returns false with *err set if the
+ * message is invalid. */
 bool wr_decode(struct wr_decoder *d, const char *data, size_t len, struct wr_msg *m,
                struct er_err *err);
 void wr_decoder_free(struct wr_decoder *d);
-/* Why a greeting is not for the node of this cluster and identity; NULL if it is. */
+/* Why a greeting is not meant for a node with this cluster and identity, or NULL. */
 const char *wr_hello_wrong(const struct wr_hello *h, const char *cluster, uint64_t id);
 
 #endif
