--- a/promote/evidence.c
+++ b/promote/evidence.c
@@ -6,7 +6,7 @@
 
 enum { REPORT_STALE_US = 1000000 };
 
-struct pr_inst *pe_inst(struct pr_group *p, const char *id)
+struct pr_inst *pe_find_inst(struct pr_group *p, const char *id)
 {
     for (int i = 0; i < p->n; i++) {
         if (strcmp(p->inst[i].id, id) == 0)
@@ -15,7 +15,7 @@
     return NULL;
 }
 
-void pe_sync(struct pr_group *p, const struct vw_group *g)
+void pe_sync_instances(struct pr_group *p, const struct vw_group *g)
 {
     struct pr_inst next[VW_MAX_INSTANCES];
     bool same = p->n == g->n;
@@ -25,7 +25,7 @@
         return;
     memset(next, 0, sizeof(next));
     for (int i = 0; i < g->n; i++) {
-        const struct pr_inst *old = pe_inst(p, g->inst[i].id);
+        const struct pr_inst *old = pe_find_inst(p, g->inst[i].id);
         if (old)
             next[i] = *old;
         else
@@ -38,33 +38,34 @@
 void pr_probed(struct pr_group *p, const char *inst, uint64_t vantage, const char *domain,
                enum pr_health health, int64_t now)
 {
-    struct pr_inst *in = pe_inst(p, inst);
+    struct pr_inst *in = pe_find_inst(p, inst);
     if (!in)
         return;
     struct pr_report *r = NULL;
     for (int i = 0; i < PR_VANTAGES; i++) {
-        if (in->by[i].vantage == vantage) {
-            r = &in->by[i];
+        if (in->reports[i].vantage == vantage) {
+            r = &in->reports[i];
             break;
         }
-        if (!r && (in->by[i].vantage == 0 || now - in->by[i].at > REPORT_STALE_US))
-            r = &in->by[i];
+        if (!r &&
+            (in->reports[i].vantage == 0 || now - in->reports[i].reported_at > REPORT_STALE_US))
+            r = &in->reports[i];
     }
     if (!r)
         return;
     bool was_down = r->vantage == vantage && r->health >= PR_SILENT;
     if (health >= PR_SILENT && !was_down)
-        r->down_at = now;
+        r->down_since = now;
     r->vantage = vantage;
     snprintf(r->domain, sizeof(r->domain), "%s", domain);
     r->health = health;
-    r->at = now;
+    r->reported_at = now;
 }
 
 void pr_said(struct pr_group *p, const char *inst, bool primary, uint64_t term,
              uint64_t following, struct ps_pos held, int64_t now)
 {
-    struct pr_inst *in = pe_inst(p, inst);
+    struct pr_inst *in = pe_find_inst(p, inst);
     if (!in)
         return;
     in->primary = primary;
@@ -76,32 +77,32 @@
 
 void pr_checking(struct pr_group *p, int n)
 {
-    p->checks_out = n;
+    p->checks_pending = n;
 }
 
 void pr_checked(struct pr_group *p, uint64_t nonce, enum pr_health health)
 {
     if (p->step != PR_CHECKING || nonce != p->nonce)
         return;
-    p->checks_out--;
+    p->checks_pending--;
     if (health == PR_UP)
-        p->checks_ok++;
+        p->checks_up++;
     else if (health >= PR_SILENT)
-        p->checks_bad++;
+        p->checks_down++;
 }
 
 void pr_fenced(struct pr_group *p, const char *inst, uint64_t term, struct ps_pos held)
 {
-    struct pr_inst *in = pe_inst(p, inst);
-    if (!in || term < in->fenced)
+    struct pr_inst *in = pe_find_inst(p, inst);
+    if (!in || term < in->fence_term)
         return;
-    in->fenced = term;
+    in->fence_term = term;
     in->fenced_pos = held;
 }
 
 void pr_promoted(struct pr_group *p, const char *inst, uint64_t term, struct ps_pos start)
 {
-    struct pr_inst *in = pe_inst(p, inst);
+    struct pr_inst *in = pe_find_inst(p, inst);
     if (!in || p->step != PR_PROMOTING || term != p->term || in != &p->inst[p->chosen])
         return;
     in->fenced_pos = start;
@@ -111,42 +112,42 @@
 
 void pr_reached(struct pr_group *p, const char *inst, int64_t now)
 {
-    struct pr_inst *in = pe_inst(p, inst);
+    struct pr_inst *in = pe_find_inst(p, inst);
     if (in)
-        in->asked_at = now - p->cfg.resend_us;
+        in->order_sent_at = now - p->cfg.resend_us;
 }
 
 /* ---- detection ---- */
 
-struct pe_verdict pe_judge(const struct pr_inst *in, int64_t now)
+struct pe_verdict pe_evaluate(const struct pr_inst *in, int64_t now)
 {
     struct pe_verdict v = {0};
     const char *seen[PR_VANTAGES];
     for (int i = 0; i < PR_VANTAGES; i++) {
-        const struct pr_report *r = &in->by[i];
-        if (!r->vantage || now - r->at > REPORT_STALE_US)
+        const struct pr_report *r = &in->reports[i];
+        if (!r->vantage || now - r->reported_at > REPORT_STALE_US)
             continue;
         if (r->health == PR_UP)
             v.up++;
         if (r->health < PR_SILENT)
             continue;
         v.refused = v.refused || r->health == PR_REFUSED;
-        bool fresh = true;
-        for (int k = 0; k < v.domains; k++)
-            fresh = fresh && strcmp(seen[k], r->domain) != 0;
-        if (fresh)
-            seen[v.domains++] = r->domain;
+        bool is_new = true;
+        for (int k = 0; k < v.down_domains; k++)
+            is_new = is_new && strcmp(seen[k], r->domain) != 0;
+        if (is_new)
+            seen[v.down_domains++] = r->domain;
     }
     return v;
 }
 
-bool pe_says_down(const struct pe_verdict *v)
+bool pe_is_down(const struct pe_verdict *v)
 {
-    return v->domains >= 2 && v->up == 0;
+    return v->down_domains >= 2 && v->up == 0;
 }
 
-bool pe_looks_down(const struct pr_inst *in, int64_t now)
+bool pe_inst_is_down(const struct pr_inst *in, int64_t now)
 {
-    struct pe_verdict v = pe_judge(in, now);
-    return pe_says_down(&v);
+    struct pe_verdict v = pe_evaluate(in, now);
+    return pe_is_down(&v);
 }
--- a/promote/promote.h
+++ b/promote/promote.h
@@ -42,20 +42,20 @@
     uint64_t vantage; /* 0: unused */
     char domain[VW_NAME];
     enum pr_health health;
-    int64_t at;      /* when this was reported */
-    int64_t down_at; /* since when the vantage sees the instance down */
+    int64_t reported_at; /* when this was reported */
+    int64_t down_since;  /* since when the vantage sees the instance down */
 };
 
 /* What the leader knows of one instance. Indexed like the instances of the view's group. */
 struct pr_inst {
     char id[VW_NAME];
-    struct pr_report by[PR_VANTAGES];
+    struct pr_report reports[PR_VANTAGES];
     uint64_t term, following; /* from its latest status */
     bool primary;
     struct ps_pos held;
     int64_t said_at;
-    int64_t asked_at; /* when the latest fence, promote or follow was sent */
-    uint64_t fenced;  /* highest term for which the instance has confirmed a fence */
+    int64_t order_sent_at; /* when the latest fence, promote or follow was sent */
+    uint64_t fence_term;   /* highest term for which the instance has confirmed a fence */
     struct ps_pos fenced_pos;
 };
 
@@ -64,16 +64,17 @@
 struct pr_group {
     struct pr_config cfg;
     enum pr_step step;
-    uint64_t term;     /* term of the attempt */
-    uint64_t proposed; /* latest term under which this leader proposed a replacement */
+    uint64_t term;          /* term of the attempt */
+    uint64_t proposed_term; /* latest term under which this leader proposed a replacement */
     int64_t proposed_at;
-    int64_t began, step_at;
-    int64_t patience; /* time limit of a promotion; doubles, as an instance may stay slow */
-    int checks_out, checks_ok, checks_bad;
+    int64_t attempt_began, step_at;
+    int64_t
+        promote_limit_us; /* time limit of a promotion; doubles, as an instance may stay slow */
+    int checks_pending, checks_up, checks_down;
     uint64_t nonce;
     int chosen;
-    int64_t last_end, hold;
-    int64_t recheck; /* delay of the next check after a veto; doubles */
+    int64_t last_change_at, backoff_us;
+    int64_t recheck_delay_us; /* delay of the next check after a veto; doubles */
     int n;
     struct pr_inst inst[VW_MAX_INSTANCES];
     char why[96]; /* evidence of the latest change, for the timeline */
@@ -126,6 +127,6 @@
              struct pr_actions *out);
 /* The number of instances to fence, so that at least one of them holds every acknowledged
  * write. */
-int pr_needed(const struct vw_group *g);
+int pr_fences_needed(const struct vw_group *g);
 
 #endif
--- a/takeover/takeover.h
+++ b/takeover/takeover.h
@@ -38,15 +38,15 @@
 struct tk_inst {
     char id[VW_NAME];
     enum tk_health health;
-    bool says_primary;
+    bool reports_primary;
     struct ps_pos received;
-    int64_t said_at;     /* when the instance last reported its status; 0 never */
+    int64_t status_at;   /* when the instance last reported its status; 0 never */
     int64_t avoid_until; /* a call for it was refused: no call before this time */
 };
 
 enum tk_step {
     TK_IDLE,
-    TK_ASKING,     /* entry nodes are asked whether the primary replies */
+    TK_CHECKING,   /* entry nodes are asked whether the primary replies */
     TK_PROPOSED,   /* a change of the view is proposed, not committed */
     TK_DROPPING,   /* entry nodes drop the old term */
     TK_CHOOSING,   /* instances report their positions; the successor is picked */
@@ -58,16 +58,17 @@
     struct tk_config cfg;
     enum tk_step step;
     int64_t step_at;
-    uint64_t term;           /* term of the attempt; 0: this leader made none */
-    int target;              /* index of the instance that was called; -1 none */
-    bool answered;           /* the call under `term` was carried out */
-    char open_call[VW_NAME]; /* instance of the latest call whose outcome is unknown; "" none */
-    bool open_mixed;         /* calls of unknown outcome may name different instances */
+    uint64_t term;                /* term of the attempt; 0: this leader made none */
+    int target;                   /* index of the instance that was called; -1 none */
+    bool call_done;               /* the call under `term` was carried out */
+    char open_call_inst[VW_NAME]; /* instance of the latest call whose outcome is unknown; ""
+                                     none */
+    bool open_calls_differ;       /* calls of unknown outcome may name different instances */
     /* replies to the latest check: still missing, up, down, unfit */
-    int checks_out, checks_up, checks_down, checks_unfit;
+    int checks_pending, checks_up, checks_down, checks_unfit;
     uint64_t nonce;        /* of the latest check */
-    int64_t ask_after;     /* entry nodes saw the primary up: no new check before this time */
-    int suspects;          /* suspicions that entry nodes reported since the latest check */
+    int64_t recheck_at;    /* entry nodes saw the primary up: no new check before this time */
+    int suspect_reports;   /* suspicions that entry nodes reported since the latest check */
     int64_t serving_since; /* since when the view's primary serves */
     int n;
     struct tk_inst inst[VW_MAX_INSTANCES];
