--- a/control/tally.h
+++ b/control/tally.h
@@ -25,7 +25,7 @@
     TY_ANSWERS
 };
 
-/* What a link to an instance carries. */
+/* What a link to an instance capacity. */
 enum ty_probe { TY_OPENED, TY_ASKED, TY_ANSWERED, TY_CLOSED, TY_PROBES };
 
 struct ty_sum {
