--- a/caller/caller.h
+++ b/caller/caller.h
@@ -34,7 +34,7 @@
     int64_t issued_ms;    /* wall clock at the first sending of this id; 0 not given */
     int priority;         /* 0 normal, 1 first within its kind */
     bool resend;          /* this id may have been sent before */
-    uint64_t tag;         /* of a forwarded request; its answer capacity it; 0 none */
+    uint64_t tag;         /* of a forwarded request; its answer carries it; 0 none */
     bool hop;             /* another entry node has forwarded it */
 };
 
--- a/control/control.h
+++ b/control/control.h
@@ -37,7 +37,7 @@
     const struct ep_driver *endpoints;
     const struct cg_codec *documents;
     /* Whether the request was one of the platform's; it is answered then, now or later. */
-    bool (*http_port)(struct ct_node *n, const struct nt_http *req);
+    bool (*http)(struct ct_node *n, const struct nt_http *req);
     /* Order a change of primary; `done` is called once, also if no answer came. */
     void (*promote)(struct ct_node *n, const char *group, const char *id, uint64_t token,
                     void (*done)(struct ct_node *n, const char *group, uint64_t token,
@@ -45,7 +45,7 @@
 };
 
 /* How changes of primary are decided: promote/ (instances obey fences) or takeover/ (the
- * platform capacity them out). `g`'s state is the steering's own. */
+ * platform carries them out). `g`'s state is the steering's own. */
 struct ct_steering {
     void (*begin)(struct ct_node *n, struct ct_group *g);
     /* What a vantage, a node by its id, sees of the instance; this node is one. */
@@ -103,8 +103,8 @@
     uint64_t id;
     char name[48], domain[48], ip[46];
     int port;
-    int capacity;           /* entry: statements a second, as it says; 0: not told */
-    int http_port;          /* entry: port of its own pages; 0: not told */
+    int carries;            /* entry: statements a second, as it says; 0: not told */
+    int http;               /* entry: port of its own pages; 0: not told */
     uint64_t told_controls; /* hash of the list of control nodes it was told */
     uint64_t sent_gen;      /* entry: generation sent last */
     int64_t sent_at;        /* when */
--- a/control/nodes.c
+++ b/control/nodes.c
@@ -195,7 +195,7 @@
 
 static bool list_node(const struct ct_conn *c, struct ho_node *x)
 {
-    *x = (struct ho_node){.port = c->port, .capacity = c->capacity};
+    *x = (struct ho_node){.port = c->port, .carries = c->carries};
     return sr_copy(x->name, sizeof(x->name), sr_from(c->name)) &&
            sr_copy(x->domain, sizeof(x->domain), sr_from(c->domain)) &&
            sr_copy(x->ip, sizeof(x->ip), sr_from(c->ip));
@@ -221,7 +221,7 @@
 static struct wr_node wire_node(const struct ho_node *x)
 {
     return (struct wr_node){sr_from(x->name), sr_from(x->domain), sr_from(x->ip),
-                            (uint32_t)x->port, (uint32_t)x->capacity};
+                            (uint32_t)x->port, (uint32_t)x->carries};
 }
 
 static void encode_nodes(const struct nl_change *ch, bool told, struct sr_buf *out)
--- a/control/ops.c
+++ b/control/ops.c
@@ -49,8 +49,8 @@
             continue;
         json_array_append_new(
             a, json_pack("{s:s,s:s,s:i,s:i,s:s,s:b,s:i}", "name", c->name, "ip", c->ip, "port",
-                         c->port, "http", c->http_port, "domain", c->domain, "lease",
-                         ls_node_live(&n->giver, c->id, now), "carries", c->capacity));
+                         c->port, "http", c->http, "domain", c->domain, "lease",
+                         ls_node_live(&n->giver, c->id, now), "carries", c->carries));
     }
     return a;
 }
@@ -366,7 +366,7 @@
 {
     struct ct_node *n = req->ud;
     bool post = strcmp(req->method, "POST") == 0;
-    if (n->outside && n->outside->http_port(n, req))
+    if (n->outside && n->outside->http(n, req))
         return;
     if (post && strcmp(req->path, "/v1/plan") == 0)
         do_plan(n, req);
@@ -390,7 +390,7 @@
                           .port = n->s->ops_port,
                           .ops = &none,
                           .accept = no_sockets,
-                          .http_port = on_http,
+                          .http = on_http,
                           .ud = n};
     n->ops_listener = nt_listen(n->loop, &l, err);
     return n->ops_listener != NULL;
--- a/control/takeovers.c
+++ b/control/takeovers.c
@@ -1,4 +1,4 @@
-/* Changes of primary that the platform capacity out: what takeover/ decides, carried out. */
+/* Changes of primary that the platform carries out: what takeover/ decides, carried out. */
 #include "control/control.h"
 #include "misc/clock.h"
 
--- a/control/tally.h
+++ b/control/tally.h
@@ -25,7 +25,7 @@
     TY_ANSWERS
 };
 
-/* What a link to an instance capacity. */
+/* What a link to an instance carries. */
 enum ty_probe { TY_OPENED, TY_ASKED, TY_ANSWERED, TY_CLOSED, TY_PROBES };
 
 struct ty_sum {
--- a/endpoint/endpoint.h
+++ b/endpoint/endpoint.h
@@ -1,6 +1,6 @@
 /* The endpoint driver table: what the daemons ask of a database instance.
  *
- * One connection capacity one statement at a time; position pushes may come between. The core
+ * One connection carries one statement at a time; position pushes may come between. The core
  * never asks which driver it has, only what it can (`caps`). */
 #ifndef FL_ENDPOINT_ENDPOINT_H
 #define FL_ENDPOINT_ENDPOINT_H
--- a/entry/caller.c
+++ b/entry/caller.c
@@ -22,7 +22,7 @@
 
 void en_caller_release(struct en_caller *c)
 {
-    if (c->http_port && c->outstanding == 0)
+    if (c->http && c->outstanding == 0)
         c->net = NULL; /* one request, one answer */
     if (c->net || c->outstanding > 0)
         return;
@@ -50,12 +50,12 @@
 
 static const struct nt_ops caller_ops = {on_open, on_message, on_close};
 
-static struct en_caller *caller_new(struct en_node *n, struct nt_conn *net, bool http_port)
+static struct en_caller *caller_new(struct en_node *n, struct nt_conn *net, bool http)
 {
     struct en_caller *c = sr_alloc(sizeof(*c));
     c->node = n;
     c->net = net;
-    c->http_port = http_port;
+    c->http = http;
     c->next = n->callers;
     if (c->next)
         c->next->prev = c;
@@ -75,7 +75,7 @@
 void en_callers_notice(struct en_node *n)
 {
     for (struct en_caller *c = n->callers; c; c = c->next) {
-        if (c->net && !c->http_port)
+        if (c->net && !c->http)
             nt_send(c->net, going_away, sizeof(going_away) - 1);
     }
 }
@@ -102,7 +102,7 @@
                           .port = n->s->entry_port,
                           .ops = &caller_ops,
                           .accept = on_accept,
-                          .http_port = on_http,
+                          .http = on_http,
                           .ud = n};
     n->listener = nt_listen(n->loop, &l, err);
     return n->listener != NULL;
--- a/entry/entry.h
+++ b/entry/entry.h
@@ -34,7 +34,7 @@
     const struct px_codec *sessions;
     const struct cg_codec *documents;
     /* Whether the request was one of the platform's; it is answered then. */
-    bool (*http_port)(struct en_node *n, const struct nt_http *req);
+    bool (*http)(struct en_node *n, const struct nt_http *req);
 };
 
 /* A caller's connection, or one plain HTTP request. */
@@ -42,7 +42,7 @@
     struct en_caller *prev, *next; /* the node's */
     struct en_node *node;
     struct nt_conn *net; /* NULL once it is gone */
-    bool http_port;
+    bool http;
     int outstanding;
 };
 
@@ -101,7 +101,7 @@
     uint64_t last_id;
     int64_t sent_at;
     struct en_txn *txn; /* pinned by */
-    bool watching;      /* this connection capacity pushes and status polls */
+    bool watching;      /* this connection carries pushes and status polls */
     uint64_t status_id;
     int64_t status_at;
     bool rolling_back;
--- a/entry/forward.c
+++ b/entry/forward.c
@@ -1,6 +1,6 @@
 /* Forwarding to a holder: a group whose instances this node holds no connections to.
  *
- * The node acts as a caller of the holder. One connection a holder capacity the statements of
+ * The node acts as a caller of the holder. One connection a holder carries the statements of
  * all its own callers, told apart by tags, since callers choose their ids themselves; a
  * transaction has a connection of its own, for its caller and group, so that it ends with its
  * caller. The holder's answers are passed on as they are. A request that was forwarded once is
--- a/entry/ops.c
+++ b/entry/ops.c
@@ -194,7 +194,7 @@
 void en_http(const struct nt_http *req)
 {
     struct en_node *n = req->ud;
-    if (n->outside && n->outside->http_port(n, req))
+    if (n->outside && n->outside->http(n, req))
         return;
     if (strcmp(req->path, "/healthz") == 0) {
         reply_json(req, 200, json_pack("{s:b}", "alive", 1));
--- a/entry/request.c
+++ b/entry/request.c
@@ -81,7 +81,7 @@
 {
     if (!c->net)
         return;
-    if (c->http_port)
+    if (c->http)
         nt_http_reply(c->net, er_http(kind), "application/json", b->p, b->len);
     else
         nt_send(c->net, b->p, b->len);
--- a/ferryctl/ctl.h
+++ b/ferryctl/ctl.h
@@ -29,7 +29,7 @@
     char *args[CT_MAX_ARGS];
 };
 
-/* http_port.c: one request, waits for the answer. Status 0: none came. */
+/* http.c: one request, waits for the answer. Status 0: none came. */
 int ctl_request(const struct addr *a, const char *method, const char *path, const char *body,
                 json_t **answer, char **text);
 /* Ask one control node after another until one answers; the leader if `leader`. What no leader
--- a/ferryctl/fleet.c
+++ b/ferryctl/fleet.c
@@ -92,7 +92,7 @@
             sr_from(json_string_value(json_object_get(x, "domain"))));
     sr_copy(n->ip, sizeof(n->ip), sr_from(json_string_value(json_object_get(x, "ip"))));
     n->port = (int)json_integer_value(json_object_get(x, "http"));
-    n->capacity = (int)json_integer_value(json_object_get(x, "carries"));
+    n->carries = (int)json_integer_value(json_object_get(x, "carries"));
     to->lease = json_is_true(json_object_get(x, "lease"));
 }
 
--- a/ferryctl/nodes.c
+++ b/ferryctl/nodes.c
@@ -86,7 +86,7 @@
         nodes[i] = f->nodes[i].node;
     ho_prepare(nodes, f->n);
     for (int i = 0; i < f->n; i++) {
-        f->nodes[i].node.strong = nodes[i].capacity > 0 && nodes[i].strong;
+        f->nodes[i].node.strong = nodes[i].carries > 0 && nodes[i].strong;
         rows[i] = read_row(&f->nodes[i]);
     }
     qsort(rows, (size_t)f->n, sizeof(*rows), fullest_first);
@@ -117,7 +117,7 @@
 {
     const struct ho_node *n = &r->of->node;
     printf("%-16s %-16s %-8s %8d %-6s", n->name, n->domain, r->of->lease ? "held" : "none",
-           n->capacity, n->strong ? "strong" : "");
+           n->carries, n->strong ? "strong" : "");
     if (!r->answered) {
         printf(" no answer from %s:%d\n", n->ip, n->port);
         return;
@@ -141,7 +141,7 @@
     const struct ho_node *n = &r->of->node;
     return json_pack("{s:s,s:s,s:b,s:b,s:i,s:b,s:f,s:f,s:f,s:f,s:f,s:f,s:f,s:f,s:f}", "name",
                      n->name, "domain", n->domain, "lease", r->of->lease, "answered",
-                     r->answered, "carries", n->capacity, "strong", n->strong, "groups",
+                     r->answered, "carries", n->carries, "strong", n->strong, "groups",
                      r->groups, "connections", r->conns, "sessions", r->sessions, "passed_s",
                      r->passed, "served_s", r->served, "waiting", r->waiting, "out_s", r->out,
                      "in_s", r->in, "link", r->link);
--- a/misc/err.c
+++ b/misc/err.c
@@ -6,7 +6,7 @@
 struct row {
     const char *name;
     enum er_answer answer;
-    int http_port;
+    int http;
 };
 
 static const struct row table[ER_COUNT] = {
@@ -77,5 +77,5 @@
 
 int er_http(enum er_kind kind)
 {
-    return kind < ER_COUNT ? table[kind].http_port : 500;
+    return kind < ER_COUNT ? table[kind].http : 500;
 }
--- a/misc/err.h
+++ b/misc/err.h
@@ -50,7 +50,7 @@
 /* The final answer that a kind turns into. */
 enum er_answer {
     ER_ANS_OK,
-    ER_ANS_NOT_RUN,  /* certainly not run; capacity retry_after_ms */
+    ER_ANS_NOT_RUN,  /* certainly not run; carries retry_after_ms */
     ER_ANS_UNKNOWN,  /* may have run */
     ER_ANS_REJECTED, /* bad input; a resend will not help */
 };
--- a/misc/log.h
+++ b/misc/log.h
@@ -1,4 +1,4 @@
-/* A small logger. Each object capacity a `struct lg_log` with its prefix. */
+/* A small logger. Each object carries a `struct lg_log` with its prefix. */
 #ifndef FL_MISC_LOG_H
 #define FL_MISC_LOG_H
 
--- a/proxy/neighbor.h
+++ b/proxy/neighbor.h
@@ -8,7 +8,7 @@
  * is silent is asked for a greeting, which needs nothing but its process (a trial). Without one
  * it is silent: nobody is sent there, and trials go on in growing pauses until one is answered.
  *
- * Pure: the time comes in; who capacity trials out tells what came of them. */
+ * Pure: the time comes in; who carries trials out tells what came of them. */
 #ifndef FL_PROXY_NEIGHBOR_H
 #define FL_PROXY_NEIGHBOR_H
 
--- a/proxy/relay.c
+++ b/proxy/relay.c
@@ -135,7 +135,7 @@
     struct px_msg m = {.kind = PX_OPEN,
                        .database = sr_from(database),
                        .who = {who, (size_t)n},
-                       .expected_id = sr_from(key)};
+                       .expect = sr_from(key)};
     p->cfg.codec->put(&b, &m);
     nt_send(net, b.p, b.len);
     sr_buf_free(&b);
--- a/proxy/session.c
+++ b/proxy/session.c
@@ -55,7 +55,7 @@
     if (s->came_relayed)
         nt_meter(s->net, &s->p->served_traffic);
     /* One that is too long is nobody's. */
-    if (!sr_copy(s->key, sizeof(s->key), s->came_relayed ? m->expected_id : m->who))
+    if (!sr_copy(s->key, sizeof(s->key), s->came_relayed ? m->expect : m->who))
         s->key[0] = 0;
     /* Closed before a greeting, so that another holder is asked. A node that is cut off from
      * control is listed for three seconds more and would refuse whatever it is asked. */
--- a/proxy/wire.h
+++ b/proxy/wire.h
@@ -36,19 +36,19 @@
 /* A message; which fields count depends on its kind. */
 struct px_msg {
     enum px_kind kind;
-    struct sr_str database;    /* PX_OPEN: of a caller the database, to an instance its group */
-    struct sr_str who;         /* PX_OPEN: any word */
-    struct sr_str expected_id; /* PX_OPEN: the instance that is meant; empty: any */
-    struct sr_str id;          /* PX_STATEMENT: empty: the proxy's own */
-    struct sr_str text;        /* PX_STATEMENT */
-    bool has_floor;            /* PX_STATEMENT: the log must hold `pos`, else it is not run */
-    struct sr_str row;         /* PX_ROW */
-    struct sr_str signature;   /* PX_DONE: the instance's; empty: it ran nothing */
-    enum er_kind error;        /* PX_FAILURE */
-    struct sr_str detail;      /* PX_FAILURE */
-    enum px_txn txn;           /* PX_READY */
-    bool has_pos;              /* PX_READY */
-    struct ps_pos pos;         /* PX_READY: of the instance's log; PX_STATEMENT: the floor */
+    struct sr_str database;  /* PX_OPEN: of a caller the database, to an instance its group */
+    struct sr_str who;       /* PX_OPEN: any word */
+    struct sr_str expect;    /* PX_OPEN: the instance that is meant; empty: any */
+    struct sr_str id;        /* PX_STATEMENT: empty: the proxy's own */
+    struct sr_str text;      /* PX_STATEMENT */
+    bool has_floor;          /* PX_STATEMENT: the log must hold `pos`, else it is not run */
+    struct sr_str row;       /* PX_ROW */
+    struct sr_str signature; /* PX_DONE: the instance's; empty: it ran nothing */
+    enum er_kind error;      /* PX_FAILURE */
+    struct sr_str detail;    /* PX_FAILURE */
+    enum px_txn txn;         /* PX_READY */
+    bool has_pos;            /* PX_READY */
+    struct ps_pos pos;       /* PX_READY: of the instance's log; PX_STATEMENT: the floor */
 };
 
 /* What a statement does. */
--- a/quorum/lead.c
+++ b/quorum/lead.c
@@ -23,7 +23,7 @@
     qc_send(q, &m);
 }
 
-/* How many entries go out together. A probe is repeated until it is answered, so it capacity
+/* How many entries go out together. A probe is repeated until it is answered, so it carries
  * little: heartbeats would stand behind its copies. */
 static uint32_t batch_size(const struct qr *q, const struct peer *p)
 {
--- a/quorum/quorum.h
+++ b/quorum/quorum.h
@@ -19,7 +19,7 @@
 
 enum {
     QR_MAX_MEMBERS = 9, /* 5 voters and what joins or leaves */
-    QR_MAX_BATCH = 64,  /* entries a message capacity */
+    QR_MAX_BATCH = 64,  /* entries a message carries */
     QR_MAX_BATCH_BYTES = 256 * 1024,
     QR_MAX_ENTRY = 3 << 19, /* a whole configuration document of 1 MiB, escaped as text */
     QR_MAX_INFLIGHT = 1024, /* writes the disk has not confirmed */
--- a/route/holders.c
+++ b/route/holders.c
@@ -10,9 +10,9 @@
 {
     int most = 0;
     for (int i = 0; i < n; i++)
-        most = nodes[i].capacity > most ? nodes[i].capacity : most;
+        most = nodes[i].carries > most ? nodes[i].carries : most;
     for (int i = 0; i < n; i++)
-        nodes[i].strong = (int64_t)nodes[i].capacity * STRONG_PART >= most;
+        nodes[i].strong = (int64_t)nodes[i].carries * STRONG_PART >= most;
 }
 
 int ho_strong(const struct ho_node *nodes, int n, int64_t *carry)
@@ -21,7 +21,7 @@
     *carry = 0;
     for (int i = 0; i < n; i++) {
         k += nodes[i].strong;
-        *carry += nodes[i].strong ? nodes[i].capacity : 0;
+        *carry += nodes[i].strong ? nodes[i].carries : 0;
     }
     return k;
 }
--- a/route/holders.h
+++ b/route/holders.h
@@ -5,7 +5,7 @@
  * that knows the same list picks the same holders; a node that comes or goes moves only its own
  * groups. Holders are spread over failure domains as evenly as the nodes allow.
  *
- * Pattern: nodes of very different size. A holder's link capacity each relayed statement four
+ * Pattern: nodes of very different size. A holder's link carries each relayed statement four
  * times, so a small VM that holds a group is full while a large one beside it idles: strong
  * nodes are picked first, as soon as each failure domain has one holder.
  *
@@ -23,11 +23,11 @@
     char domain[32];
     char ip[46]; /* for callers and for forwarding */
     int port;
-    int capacity; /* statements a second, route/capacity.h; 0: not told */
+    int carries; /* statements a second, route/capacity.h; 0: not told */
     /* by ho_prepare: */
     uint64_t hash; /* of the name */
     int place;     /* number of the failure domain, below HO_DOMAINS */
-    bool strong;   /* it capacity a good part of what the strongest node does */
+    bool strong;   /* it carries a good part of what the strongest node does */
 };
 
 /* Once a list: what every pick from it needs. At the target a list has 460 nodes and 940 groups
@@ -38,7 +38,7 @@
  * HO_MAX_HOLDERS. Returns how many. */
 int ho_pick(const struct ho_node *nodes, int n, const char *group, int k, int *out);
 /* How many of the nodes are strong, and what these carry together, statements a second; if none
- * tells what it capacity, all are strong and that is 0. */
+ * tells what it carries, all are strong and that is 0. */
 int ho_strong(const struct ho_node *nodes, int n, int64_t *carry);
 /* Failure domains in which no node is strong. */
 int ho_domains_without_strong(const struct ho_node *nodes, int n);
--- a/route/nodelist.c
+++ b/route/nodelist.c
@@ -23,7 +23,7 @@
     uint64_t h = NL_EMPTY;
     for (int i = 0; i < n; i++) {
         const struct ho_node *x = &nodes[i];
-        uint64_t seed = (uint64_t)x->port | (uint64_t)x->capacity << 16;
+        uint64_t seed = (uint64_t)x->port | (uint64_t)x->carries << 16;
         h += hash_text(x->name, hash_text(x->domain, hash_text(x->ip, seed)));
     }
     return h ? h : NL_EMPTY;
@@ -67,7 +67,7 @@
 static bool same_place(const struct ho_node *a, const struct ho_node *b)
 {
     return strcmp(a->domain, b->domain) == 0 && strcmp(a->ip, b->ip) == 0 &&
-           a->port == b->port && a->capacity == b->capacity;
+           a->port == b->port && a->carries == b->carries;
 }
 
 static void whole(const struct nl_list *to, struct nl_change *out)
--- a/route/spread.c
+++ b/route/spread.c
@@ -62,11 +62,11 @@
     double sum = 0;
     bool told = true;
     for (int i = 0; i < n; i++) {
-        told = told && nodes[holders[i]].capacity > 0;
-        sum += nodes[holders[i]].capacity;
+        told = told && nodes[holders[i]].carries > 0;
+        sum += nodes[holders[i]].carries;
     }
     for (int i = 0; i < n; i++) {
-        double share = told ? nodes[holders[i]].capacity / sum : 1.0 / n;
+        double share = told ? nodes[holders[i]].carries / sum : 1.0 / n;
         l->cap[i] = total * share * FULL_AT;
     }
     l->part = total / n;
--- a/takeover/takeover.h
+++ b/takeover/takeover.h
@@ -1,4 +1,4 @@
-/* Change of primary for a group whose platform capacity it out: one call with a fencing token
+/* Change of primary for a group whose platform carries it out: one call with a fencing token
  * names the instance that takes over. The outcome of a call can't be queried afterwards.
  *
  * Pure; run by the control leader for one group. Unlike in promote/, the instances obey no
--- a/task/http.c
+++ b/task/http.c
@@ -72,13 +72,13 @@
 void np_dispatch_http(struct nt_conn *c)
 {
     struct nt_listener *ln = c->ln;
-    if (!ln->what.http_port) {
+    if (!ln->what.http) {
         nt_http_reply(c, 404, "text/plain", "not found\n", 10);
         return;
     }
     struct nt_http req = {
         c, c->method, c->path, c->query, c->body.p ? c->body.p : "", c->body.len, ln->what.ud};
-    ln->what.http_port(&req);
+    ln->what.http(&req);
 }
 
 void nt_http_watch(struct nt_conn *c, const struct nt_ops *ops, void *ud)
--- a/task/net.h
+++ b/task/net.h
@@ -1,7 +1,7 @@
 /* The loop, its timers and its sockets, on libwebsockets.
  *
  * One loop per thread. Everything below runs on the loop's thread, but for nt_wake.
- * A connection capacity whole messages: WebSocket text messages, or frames of a 4-byte
+ * A connection carries whole messages: WebSocket text messages, or frames of a 4-byte
  * big-endian length over raw TCP. Lengths are checked before anything is allocated. */
 #ifndef FL_TASK_NET_H
 #define FL_TASK_NET_H
@@ -54,7 +54,7 @@
     const struct nt_ops *ops;
     /* A peer connected: gives the user pointer of its connection, NULL refuses it. */
     void *(*accept)(struct nt_conn *c, void *ud);
-    void (*http_port)(const struct nt_http *req); /* NULL: 404 */
+    void (*http)(const struct nt_http *req); /* NULL: 404 */
     /* Plain HTTP connections at once, 0: NT_MAX_HTTP. One beyond takes the place of the one
      * that has rested longest, and is closed if none rests. */
     int max_http;
--- a/task/net_priv.h
+++ b/task/net_priv.h
@@ -1,5 +1,4 @@
-/* The socket layer's state, shared by its parts (net, http_port). task/net.h is the contract.
- */
+/* The socket layer's state, shared by its parts (net, http). task/net.h is the contract. */
 #ifndef FL_TASK_NET_PRIV_H
 #define FL_TASK_NET_PRIV_H
 
--- a/tests/standin/crowd.c
+++ b/tests/standin/crowd.c
@@ -186,7 +186,7 @@
                           .port = w.port,
                           .ops = &ops,
                           .accept = on_accept,
-                          .http_port = on_http,
+                          .http = on_http,
                           .ud = &w};
     if (!w.loop || !nt_listen(w.loop, &l, &err)) {
         fprintf(stderr, "ferry-crowd: %s\n", err.text);
--- a/tests/standin/instance.c
+++ b/tests/standin/instance.c
@@ -289,7 +289,7 @@
                           .port = in.o.port,
                           .ops = &ops,
                           .accept = on_accept,
-                          .http_port = on_http,
+                          .http = on_http,
                           .ud = &in};
     if (!in.loop || !nt_listen(in.loop, &l, &err)) {
         fprintf(stderr, "ferry-instance: %s\n", err.text);
--- a/tests/standin/pipe.c
+++ b/tests/standin/pipe.c
@@ -196,7 +196,7 @@
                                  .port = atoi(argv[1]),
                                  .ops = &caller_ops,
                                  .accept = no_sockets,
-                                 .http_port = command,
+                                 .http = command,
                                  .ud = &p};
     bool ok = nt_listen(p.loop, &commands, &err);
     for (int i = 3; ok && i < argc; i++) {
--- a/tests/standin/platform.c
+++ b/tests/standin/platform.c
@@ -93,7 +93,7 @@
                              .port = p.port,
                              .ops = &none,
                              .accept = no_sockets,
-                             .http_port = on_http,
+                             .http = on_http,
                              .ud = &p};
     if (!l || !nt_listen(l, &what, &err)) {
         fprintf(stderr, "ferry-platform: %s\n", err.text);
--- a/tests/standin/relay.c
+++ b/tests/standin/relay.c
@@ -45,7 +45,7 @@
 
 struct relay {
     struct nt_loop *loop;
-    int http_port, n;
+    int http, n;
     struct pair pairs[MAX_PAIRS];
     char cut[256], mangle[16];
     struct wr_decoder dec;
@@ -234,7 +234,7 @@
 {
     struct relay *r = st->input;
     if (key == 'h') {
-        r->http_port = atoi(arg);
+        r->http = atoi(arg);
     } else if (key == ARGP_KEY_ARG && r->n < MAX_PAIRS) {
         struct pair *p = &r->pairs[r->n++];
         if (sscanf(arg, "%31[^:]:%d:%d", p->name, &p->listen, &p->target) != 3)
@@ -256,13 +256,13 @@
     argp_parse(&argp, argc, argv, 0, NULL, &r);
     struct er_err err = {0};
     r.loop = nt_loop_create(1024, &err);
-    struct nt_listen http_port = {.ip = "127.0.0.1",
-                                  .port = r.http_port,
-                                  .ops = &in_ops,
-                                  .accept = no_sockets,
-                                  .http_port = on_http,
-                                  .ud = &r};
-    bool ok = r.loop && nt_listen(r.loop, &http_port, &err);
+    struct nt_listen http = {.ip = "127.0.0.1",
+                             .port = r.http,
+                             .ops = &in_ops,
+                             .accept = no_sockets,
+                             .http = on_http,
+                             .ud = &r};
+    bool ok = r.loop && nt_listen(r.loop, &http, &err);
     for (int i = 0; ok && i < r.n; i++) {
         struct nt_listen l = {.ip = "127.0.0.1",
                               .port = r.pairs[i].listen,
--- a/tests/standin/world.c
+++ b/tests/standin/world.c
@@ -152,7 +152,7 @@
                                  .port = w.base - 2,
                                  .ops = &none,
                                  .accept = no_sockets,
-                                 .http_port = command,
+                                 .http = command,
                                  .ud = &w};
     if (!wd_orders_listen(&w, &err) || !nt_listen(w.loop, &commands, &err)) {
         fprintf(stderr, "ferry-world: %s\n", err.text);
--- a/tests/standin/world_orders.c
+++ b/tests/standin/world_orders.c
@@ -1,4 +1,4 @@
-/* Orders to promote an instance, as ferry-world takes and capacity them out. */
+/* Orders to promote an instance, as ferry-world takes and carries them out. */
 #include <stdio.h>
 #include <stdlib.h>
 
--- a/tests/unit/test_limit.c
+++ b/tests/unit/test_limit.c
@@ -85,7 +85,7 @@
     return in_window + tolerated * (exact ? 0.8 : 1);
 }
 
-/* A connection keeps the order of what it capacity. */
+/* A connection keeps the order of what it carries. */
 static struct mail *post(int node, bool answer)
 {
     int64_t *last = &w.last_at[node][answer];
--- a/tests/unit/test_lines.c
+++ b/tests/unit/test_lines.c
@@ -20,7 +20,7 @@
 {
     struct px_msg m = parsed("STARTUP lepu270 u3f1");
     CU_ASSERT_EQUAL(m.kind, PX_OPEN);
-    CU_ASSERT_TRUE(is(m.database, "lepu270") && is(m.who, "u3f1") && m.expected_id.len == 0);
+    CU_ASSERT_TRUE(is(m.database, "lepu270") && is(m.who, "u3f1") && m.expect.len == 0);
     m = parsed("QUERY 5c0e READ 1a4 and more");
     CU_ASSERT_EQUAL(m.kind, PX_STATEMENT);
     CU_ASSERT_TRUE(is(m.id, "5c0e") && is(m.text, "READ 1a4 and more"));
@@ -128,7 +128,7 @@
     put_is(&m, "READY T -\r\n");
     m = (struct px_msg){.kind = PX_DONE};
     put_is(&m, "COMPLETE -\r\n");
-    m = (struct px_msg){.kind = PX_OPEN, .database = SR_LIT("g"), .expected_id = SR_LIT("i-1")};
+    m = (struct px_msg){.kind = PX_OPEN, .database = SR_LIT("g"), .expect = SR_LIT("i-1")};
     put_is(&m, "STARTUP g - i-1\r\n");
     /* What was certainly not run says so, whatever it is called here. */
     static const enum er_kind promises[] = {ER_NO_LEASE, ER_NO_PRIMARY, ER_OVERLOAD,
--- a/tests/unit/test_member.c
+++ b/tests/unit/test_member.c
@@ -29,7 +29,7 @@
     return s;
 }
 
-static void expected_id(const struct mb_state *s, enum mb_step step, uint64_t id)
+static void expect(const struct mb_state *s, enum mb_step step, uint64_t id)
 {
     struct mb_action a = mb_next(s);
     CU_ASSERT_EQUAL(a.step, step);
@@ -39,19 +39,19 @@
 static void emptied_disk_learns_votes_and_replaces(void)
 {
     struct mb_state s = three();
-    expected_id(&s, MB_NONE, 0);
+    expect(&s, MB_NONE, 0);
     s.node[2].heard_us = MB_GONE_US;
     s.node[2].connected = false;
-    expected_id(&s, MB_NONE, 0); /* a voter that is away for a while stays one */
+    expect(&s, MB_NONE, 0); /* a voter that is away for a while stays one */
     s.node[s.n++] = node(33, "10.0.0.3", false);
-    expected_id(&s, MB_ADD, 33);
+    expect(&s, MB_ADD, 33);
     s.node[3].member = true;
     s.node[3].caught_up = false;
-    expected_id(&s, MB_NONE, 0); /* it must hold everything first */
+    expect(&s, MB_NONE, 0); /* it must hold everything first */
     s.node[3].caught_up = true;
-    expected_id(&s, MB_VOTER, 33);
+    expect(&s, MB_VOTER, 33);
     s.node[3].voter = true;
-    expected_id(&s, MB_REMOVE, 3);
+    expect(&s, MB_REMOVE, 3);
 }
 
 static void successor_at_another_address(void)
@@ -59,9 +59,9 @@
     struct mb_state s = three();
     s.node[1].heard_us = MB_GONE_US;
     s.node[s.n++] = node(4, "10.0.0.9", true);
-    expected_id(&s, MB_REMOVE, 2);
+    expect(&s, MB_REMOVE, 2);
     s.node[3].heard_us = MB_GONE_US; /* with two there nobody is removed */
-    expected_id(&s, MB_NONE, 0);
+    expect(&s, MB_NONE, 0);
 }
 
 static void every_disk_votes(void)
@@ -70,13 +70,13 @@
     s.tolerates = 2;
     s.node[s.n++] = node(4, "10.0.0.4", false);
     s.node[s.n++] = node(5, "10.0.0.5", false);
-    expected_id(&s, MB_ADD, 4);
+    expect(&s, MB_ADD, 4);
     s.node[3] = node(4, "10.0.0.4", true);
     s.node[4] = node(5, "10.0.0.5", true);
     s.node[2].heard_us = MB_GONE_US;
-    expected_id(&s, MB_NONE, 0); /* five are needed */
+    expect(&s, MB_NONE, 0); /* five are needed */
     s.node[s.n++] = node(6, "10.0.0.6", true);
-    expected_id(&s, MB_REMOVE, 3);
+    expect(&s, MB_REMOVE, 3);
 }
 
 /* Eight split into halves have no majority of eight; of seven, one half has. The eighth learns
@@ -89,16 +89,16 @@
     for (uint64_t i = 0; i < 8; i++)
         s.node[s.n++] = node(i + 1, ips[i], i < 7);
     s.node[7].member = true;
-    expected_id(&s, MB_NONE, 0);
+    expect(&s, MB_NONE, 0);
     s.node[2].heard_us = MB_GONE_US;
     s.node[2].connected = false;
-    expected_id(&s, MB_VOTER, 8);
+    expect(&s, MB_VOTER, 8);
     s.node[7].voter = true;
-    expected_id(&s, MB_REMOVE, 3);
+    expect(&s, MB_REMOVE, 3);
     struct mb_state four = three();
     four.node[four.n++] = node(4, "10.0.0.4", false);
     four.node[3].member = true;
-    expected_id(&four, MB_NONE, 0); /* three of four */
+    expect(&four, MB_NONE, 0); /* three of four */
 }
 
 /* ---- instances ---- */
--- a/tests/unit/test_net.c
+++ b/tests/unit/test_net.c
@@ -465,11 +465,8 @@
     struct keepers k = {
         .loop = nt_loop_create(64, &err), .port = make_port(&fd, false), .who = who};
     close(fd);
-    struct nt_listen l = {.ip = "127.0.0.1",
-                          .port = k.port,
-                          .http_port = answer_empty,
-                          .max_http = KEPT,
-                          .ud = &k};
+    struct nt_listen l = {
+        .ip = "127.0.0.1", .port = k.port, .http = answer_empty, .max_http = KEPT, .ud = &k};
     CU_ASSERT_PTR_NOT_NULL_FATAL(nt_listen(k.loop, &l, &err));
     dial(&k);
     nt_timer_set(k.loop, &k.timer, CK_MS(STEP_MS), next_step, &k);
--- a/tests/unit/test_nodelist.c
+++ b/tests/unit/test_nodelist.c
@@ -10,7 +10,7 @@
 enum {
     NODES = 300,
     HALF = NODES / 2,
-    /* What a link of 100 Mbit/s capacity in a quarter of the shortest election time (200 ms):
+    /* What a link of 100 Mbit/s carries in a quarter of the shortest election time (200 ms):
      * heartbeats that stand in line behind no more than that arrive in time. */
     BYTES_IN_TIME = 100 * 1000 * 1000 / 8 / 1000 * 50,
 };
@@ -55,7 +55,7 @@
     for (int i = 0; i < ch.n_came; i++)
         came[i] = (struct wr_node){sr_from(ch.came[i]->name), sr_from(ch.came[i]->domain),
                                    sr_from(ch.came[i]->ip), (uint32_t)ch.came[i]->port,
-                                   (uint32_t)ch.came[i]->capacity};
+                                   (uint32_t)ch.came[i]->carries};
     for (int i = 0; i < ch.n_gone; i++)
         gone[i] = sr_from(ch.gone[i]);
     struct wr_msg m = {.type = WR_NODES,
--- a/tests/unit/test_push.c
+++ b/tests/unit/test_push.c
@@ -21,7 +21,7 @@
     int64_t worst_us; /* that a heartbeat stood in line */
 };
 
-/* A link is a line of bytes that it capacity in order. */
+/* A link is a line of bytes that it carries in order. */
 static struct outcome send_all(int64_t bytes_a_second, bool paced)
 {
     struct vp_pace p = {0};
@@ -52,7 +52,7 @@
 }
 
 /* Whatever the link, no heartbeat waits for an election's time behind views, and they are there
- * within the time in which a change is to be in force, as far as the link capacity them. */
+ * within the time in which a change is to be in force, as far as the link carries them. */
 static void heartbeats_pass_large_views(void)
 {
     static const struct {
@@ -68,7 +68,7 @@
     CU_ASSERT(send_all(12500000, false).worst_us > ELECTION_US * 3);
 }
 
-/* For how long the link between regions capacity an entry to five voters. */
+/* For how long the link between regions carries an entry to five voters. */
 static int64_t entry_takes(struct sr_str text)
 {
     enum { VOTERS = 5, BYTES_A_SECOND = 7500000 };
--- a/tests/unit/test_quorum.c
+++ b/tests/unit/test_quorum.c
@@ -207,7 +207,7 @@
 }
 
 /* A follower is sent a long entry once, also if its answers come late: what is repeated until
- * the place to go on from is found capacity no more than a few bytes. Guards against a new
+ * the place to go on from is found carries no more than a few bytes. Guards against a new
  * leader whose heartbeats stand behind copies of one document. */
 static void long_entry_is_sent_once(void)
 {
--- a/tests/unit/test_spread.c
+++ b/tests/unit/test_spread.c
@@ -22,12 +22,12 @@
 };
 
 /* `strong` nodes of each of three failure domains carry twelve times what the others do. */
-static void make_nodes(struct load *l, uint64_t seed, int n, int strong, int capacity)
+static void make_nodes(struct load *l, uint64_t seed, int n, int strong, int carries)
 {
     l->n = n;
     for (int i = 0; i < n; i++) {
         struct ho_node *x = &l->nodes[i];
-        *x = (struct ho_node){.capacity = i < strong * 3 ? capacity * 12 : capacity};
+        *x = (struct ho_node){.carries = i < strong * 3 ? carries * 12 : carries};
         snprintf(x->name, sizeof(x->name), "n%d-%d", (int)seed, i);
         snprintf(x->domain, sizeof(x->domain), "d%d", i % 3);
     }
@@ -174,7 +174,7 @@
         CU_ASSERT_EQUAL(strong, 6);
         CU_ASSERT(in[0] >= 2 && in[1] >= 2 && in[2] >= 2);
     }
-    make_nodes(&l, 1, 83, 2, 0); /* nobody says what it capacity: all are alike */
+    make_nodes(&l, 1, 83, 2, 0); /* nobody says what it carries: all are alike */
     CU_ASSERT_EQUAL(ho_strong(l.nodes, l.n, &carry), 83);
     CU_ASSERT_EQUAL(carry, 0);
 }
@@ -201,7 +201,7 @@
         int in[3] = {0};
         make_nodes(&l, seed, 83, 0, 89);
         for (int i = 0; i < 30; i += 3)
-            l.nodes[i].capacity *= 12;
+            l.nodes[i].carries *= 12;
         ho_prepare(l.nodes, l.n);
         CU_ASSERT_EQUAL(ho_strong(l.nodes, l.n, &carry), 10);
         CU_ASSERT_EQUAL(ho_domains_without_strong(l.nodes, l.n), 2);
--- a/tests/unit/test_takeover.c
+++ b/tests/unit/test_takeover.c
@@ -1,4 +1,4 @@
-/* Changes of primary that somebody else capacity out: what is done when, and what never is. */
+/* Changes of primary that somebody else carries out: what is done when, and what never is. */
 #include <string.h>
 
 #include "misc/clock.h"
