--- a/view/json.c
+++ b/view/json.c
@@ -34,11 +34,11 @@
 
 /* ---- reading fields, with the key and what was expected in the error ---- */
 
-static bool get_str(const json_t *j, const char *key, char *dst, size_t cap, bool must,
+static bool get_str(const json_t *j, const char *key, char *dst, size_t cap, bool required,
                     struct er_err *err)
 {
     const json_t *v = json_object_get(j, key);
-    if (!v && !must)
+    if (!v && !required)
         return true;
     if (!json_is_string(v))
         return er_set(err, ER_BAD_INPUT, "%s: expected a string", key);
@@ -110,21 +110,21 @@
 }
 
 /* The departed instances, oldest first: an id, or a pair of id and start. */
-static json_t *left_json(const struct vw_view *v)
+static json_t *departed_json(const struct vw_view *v)
 {
     json_t *a = json_array();
-    int n = v->n_left < VW_MAX_LEFT ? v->n_left : VW_MAX_LEFT;
+    int n = v->n_departed < VW_MAX_DEPARTED ? v->n_departed : VW_MAX_DEPARTED;
     for (int i = 0; i < n; i++) {
-        int at = (v->n_left - n + i) % VW_MAX_LEFT;
-        json_t *name = json_string(v->left[at]);
-        if (v->left_born[at])
-            name = json_pack("[o,I]", name, (json_int_t)v->left_born[at]);
+        int at = (v->n_departed - n + i) % VW_MAX_DEPARTED;
+        json_t *name = json_string(v->departed[at]);
+        if (v->departed_born[at])
+            name = json_pack("[o,I]", name, (json_int_t)v->departed_born[at]);
         json_array_append_new(a, name);
     }
     return a;
 }
 
-static bool left_parse(const json_t *a, struct vw_view *v, struct er_err *err)
+static bool departed_parse(const json_t *a, struct vw_view *v, struct er_err *err)
 {
     size_t i;
     json_t *x;
@@ -132,10 +132,11 @@
     {
         const json_t *name = json_is_array(x) ? json_array_get(x, 0) : x;
         struct sr_str s = {json_string_value(name), json_string_length(name)};
-        if (i >= VW_MAX_LEFT || !s.p || !sr_copy(v->left[i], VW_NAME, s))
-            return er_set(err, ER_BAD_INPUT, "left: expected at most %d names", VW_MAX_LEFT);
-        v->left_born[i] = json_integer_value(json_array_get(x, 1));
-        v->n_left++;
+        if (i >= VW_MAX_DEPARTED || !s.p || !sr_copy(v->departed[i], VW_NAME, s))
+            return er_set(err, ER_BAD_INPUT, "left: expected at most %d names",
+                          VW_MAX_DEPARTED);
+        v->departed_born[i] = json_integer_value(json_array_get(x, 1));
+        v->n_departed++;
     }
     return true;
 }
@@ -170,7 +171,8 @@
 }
 
 /* A group in a view may have no instance, if all of them left; a new group needs one. */
-static bool group_parse(const json_t *j, size_t least, struct vw_group *g, struct er_err *err)
+static bool group_parse(const json_t *j, size_t min_instances, struct vw_group *g,
+                        struct er_err *err)
 {
     memset(g, 0, sizeof(*g));
     const json_t *inst = json_object_get(j, "instances");
@@ -179,8 +181,8 @@
     int phase = VW_REPLACING;
     if (!get_str(j, "name", g->name, sizeof(g->name), true, err))
         return false;
-    if (n < least || n > VW_MAX_INSTANCES)
-        return er_set(err, ER_BAD_INPUT, "instances: %zu, expected %zu..%d", n, least,
+    if (n < min_instances || n > VW_MAX_INSTANCES)
+        return er_set(err, ER_BAD_INPUT, "instances: %zu, expected %zu..%d", n, min_instances,
                       VW_MAX_INSTANCES);
     if (!get_int(j, "term", 0, INT64_MAX, &term, err) ||
         !get_int(j, "primary", -1, (int64_t)n - 1, &primary, err) ||
@@ -342,13 +344,13 @@
         document_put(doc, v->doc.version, (struct sr_str){v->doc.text, v->doc.len});
         json_object_set_new(j, "document", doc);
     }
-    if (v->n_left)
-        json_object_set_new(j, "left", left_json(v));
+    if (v->n_departed)
+        json_object_set_new(j, "left", departed_json(v));
     return j;
 }
 
 /* Copies the text of the document, which the view owns. A view may have no document. */
-static bool own_document(const json_t *j, struct vw_document *d, struct er_err *err)
+static bool copy_document(const json_t *j, struct vw_document *d, struct er_err *err)
 {
     struct sr_str text;
     if (!j)
@@ -390,7 +392,7 @@
     if (json_array_size(groups) > VW_MAX_GROUPS || json_array_size(intents) > VW_MAX_INTENTS)
         return er_set(err, ER_TOO_LARGE, "view: too many groups or intents");
     vw_free(v);
-    if (!own_document(json_object_get(j, "document"), &v->doc, err))
+    if (!copy_document(json_object_get(j, "document"), &v->doc, err))
         return false;
     if (!groups_parse(groups, v, err))
         return false;
@@ -401,5 +403,5 @@
             return false;
     }
     v->generation = (uint64_t)gen;
-    return left_parse(json_object_get(j, "left"), v, err);
+    return departed_parse(json_object_get(j, "left"), v, err);
 }
--- a/view/push.h
+++ b/view/push.h
@@ -15,10 +15,10 @@
 #include <stdint.h>
 
 struct vp_pace {
-    int64_t rate;      /* bytes per second; 0 before the first tick */
-    int64_t credit;    /* bytes that may be sent now; negative after an overrun */
-    int64_t at;        /* time of the latest tick */
-    int64_t slowed_at; /* when the rate was last lowered */
+    int64_t rate;         /* bytes per second; 0 before the first tick */
+    int64_t credit_bytes; /* bytes that may be sent now; negative after an overrun */
+    int64_t ticked_at;    /* time of the latest tick */
+    int64_t slowed_at;    /* when the rate was last lowered */
 };
 
 /* Called regularly while leading. `lag_us` is the time since the newest heartbeat that a quorum
@@ -39,8 +39,8 @@
  * every node acknowledges it and asks for connections. Zero-initialized: the first change is
  * sent at once. */
 struct vp_news {
-    int64_t next; /* earliest time of the next batch */
-    bool waits;   /* changes are not sent yet */
+    int64_t next_at; /* earliest time of the next batch */
+    bool waits;      /* changes are not sent yet */
 };
 
 /* A change of the view has to be sent to `nodes` nodes. Returns whether it is sent now,
--- a/view/view.c
+++ b/view/view.c
@@ -49,12 +49,12 @@
 }
 
 /* Index of the newest entry with this id in the ring of departed instances, or -1. */
-static int left_at(const struct vw_view *v, const char *id)
+static int find_departed(const struct vw_view *v, const char *id)
 {
-    int n = v->n_left < VW_MAX_LEFT ? v->n_left : VW_MAX_LEFT;
+    int n = v->n_departed < VW_MAX_DEPARTED ? v->n_departed : VW_MAX_DEPARTED;
     for (int k = 1; k <= n; k++) {
-        int i = (v->n_left - k) % VW_MAX_LEFT;
-        if (strcmp(v->left[i], id) == 0)
+        int i = (v->n_departed - k) % VW_MAX_DEPARTED;
+        if (strcmp(v->departed[i], id) == 0)
             return i;
     }
     return -1;
@@ -62,13 +62,13 @@
 
 bool vw_has_left(const struct vw_view *v, const char *id)
 {
-    return left_at(v, id) >= 0;
+    return find_departed(v, id) >= 0;
 }
 
 bool vw_is_late(const struct vw_view *v, const char *id, int64_t born)
 {
-    int i = left_at(v, id);
-    return i >= 0 && born <= v->left_born[i];
+    int i = find_departed(v, id);
+    return i >= 0 && born <= v->departed_born[i];
 }
 
 const struct vw_group *vw_owner(const struct vw_view *v, const char *id)
@@ -171,7 +171,7 @@
 }
 
 /* Index of the instance at the same address, which a joining instance replaces, or -1. */
-static int at_address(const struct vw_group *g, const struct vw_instance *in)
+static int find_by_address(const struct vw_group *g, const struct vw_instance *in)
 {
     for (int i = 0; i < g->n; i++) {
         if (g->inst[i].port == in->port && strcmp(g->inst[i].ip, in->ip) == 0)
@@ -191,7 +191,7 @@
                       ch->group, VW_MAX_GROUPS);
     if (vw_is_late(v, ch->inst.id, ch->inst.born))
         return er_set(err, ER_STALE_PLAN, "instance %s has left", ch->inst.id);
-    if (g && !owner && g->n >= VW_MAX_INSTANCES && at_address(g, &ch->inst) < 0)
+    if (g && !owner && g->n >= VW_MAX_INSTANCES && find_by_address(g, &ch->inst) < 0)
         return er_set(err, ER_CONFLICT, "group %s has %d instances, the maximum", g->name,
                       g->n);
     return true;
@@ -294,11 +294,11 @@
 static void insert_intent(struct vw_view *v, const struct vw_intent *it, uint64_t index)
 {
     if (v->n_intents >= VW_MAX_INTENTS) {
-        int gone = 0;
-        while (gone < v->n_intents - 1 && v->intents[gone].state == VW_RUNNING)
-            gone++;
-        memmove(&v->intents[gone], &v->intents[gone + 1],
-                sizeof(*v->intents) * (size_t)(v->n_intents - gone - 1));
+        int evicted = 0;
+        while (evicted < v->n_intents - 1 && v->intents[evicted].state == VW_RUNNING)
+            evicted++;
+        memmove(&v->intents[evicted], &v->intents[evicted + 1],
+                sizeof(*v->intents) * (size_t)(v->n_intents - evicted - 1));
         v->n_intents--;
     }
     v->intents = sr_realloc(v->intents, sizeof(*v->intents) * (size_t)(v->n_intents + 1));
@@ -337,17 +337,17 @@
 
 /* Removes the instance. If it was the primary, the group has no primary until one is chosen
  * under the next term. */
-static void apply_leave(struct vw_view *v, struct vw_group *g, const char *who)
+static void apply_leave(struct vw_view *v, struct vw_group *g, const char *leaving_id)
 {
-    char id[VW_NAME]; /* copied, as `who` may point into the group */
-    sr_copy(id, sizeof(id), sr_from(who));
+    char id[VW_NAME]; /* copied, as `leaving_id` may point into the group */
+    sr_copy(id, sizeof(id), sr_from(leaving_id));
     int i = vw_instance(g, id);
-    bool led = i == g->primary;
-    int at = v->n_left++ % VW_MAX_LEFT;
-    sr_copy(v->left[at], VW_NAME, sr_from(id));
-    v->left_born[at] = g->inst[i].born;
+    bool was_primary = i == g->primary;
+    int at = v->n_departed++ % VW_MAX_DEPARTED;
+    sr_copy(v->departed[at], VW_NAME, sr_from(id));
+    v->departed_born[at] = g->inst[i].born;
     remove_instance(g, i);
-    if (!led)
+    if (!was_primary)
         return;
     g->primary = -1;
     g->target = -1;
@@ -405,7 +405,7 @@
         insert_group(v, &fresh);
         g = vw_group(v, ch->group);
     }
-    int other = at_address(g, &ch->inst);
+    int other = find_by_address(g, &ch->inst);
     if (other >= 0 && strcmp(g->inst[other].id, ch->inst.id) != 0)
         apply_leave(v, g, g->inst[other].id);
     int i = vw_instance(g, ch->inst.id);
--- a/view/view.h
+++ b/view/view.h
@@ -23,7 +23,7 @@
     VW_MAX_INTENTS = 256,
     VW_MAX_STEPS = 16,
     VW_NAME = 48,              /* bytes of a name, with its NUL */
-    VW_MAX_LEFT = 16,          /* departed instances that are remembered, of all groups */
+    VW_MAX_DEPARTED = 16,      /* departed instances that are remembered, of all groups */
     VW_CHANGE_MAX = 8192,      /* JSON text of a change, except a document */
     VW_DOCUMENT_MAX = 1 << 20, /* about 3,000 routes */
 };
@@ -101,10 +101,10 @@
     struct vw_group *groups; /* sorted by name */
     int n_intents;
     struct vw_intent *intents; /* oldest first */
-    int n_left;                /* total count; `left` is a ring */
+    int n_departed;            /* total count; `departed` is a ring */
     /* ids of instances that left: a late registration of these is refused */
-    char left[VW_MAX_LEFT][VW_NAME];
-    int64_t left_born[VW_MAX_LEFT]; /* `born` of the departed instances */
+    char departed[VW_MAX_DEPARTED][VW_NAME];
+    int64_t departed_born[VW_MAX_DEPARTED]; /* `born` of the departed instances */
 };
 
 enum vw_change_kind {
@@ -153,7 +153,7 @@
 
 struct vw_group *vw_group(const struct vw_view *v, const char *name);
 int vw_instance(const struct vw_group *g, const char *id);
-/* Whether an instance with this id is among the latest VW_MAX_LEFT that left. */
+/* Whether an instance with this id is among the latest VW_MAX_DEPARTED that left. */
 bool vw_has_left(const struct vw_view *v, const char *id);
 /* Whether the instance that started at `born` is such a departed instance, or an earlier start
  * under the same id. */
