--- a/intent/intent.c
+++ b/intent/intent.c
@@ -9,7 +9,8 @@
 
 /* ---- parsing ---- */
 
-static bool text(const json_t *o, const char *key, char *dst, size_t cap, struct er_err *err)
+static bool get_text(const json_t *o, const char *key, char *dst, size_t cap,
+                     struct er_err *err)
 {
     const json_t *v = json_object_get(o, key);
     struct sr_str s = {json_string_value(v), json_string_length(v)};
@@ -22,12 +23,12 @@
 static bool parse_instances(const json_t *o, struct it_request *r, struct er_err *err)
 {
     struct vw_group g;
-    json_t *probe =
+    json_t *group_json =
         json_pack("{s:s,s:O}", "name", r->group, "instances", json_object_get(o, "instances"));
-    if (!probe)
+    if (!group_json)
         return er_set(err, ER_BAD_INPUT, "instances: expected an array");
-    bool ok = vw_group_parse(probe, &g, err);
-    json_decref(probe);
+    bool ok = vw_group_parse(group_json, &g, err);
+    json_decref(group_json);
     if (!ok)
         return false;
     r->n = g.n;
@@ -35,7 +36,7 @@
     return true;
 }
 
-static bool hex_id(const json_t *v, uint64_t *id)
+static bool parse_hex_id(const json_t *v, uint64_t *id)
 {
     const char *s = json_string_value(v);
     char *end = NULL;
@@ -46,18 +47,18 @@
 static bool parse_member(const json_t *o, struct it_request *r, struct er_err *err)
 {
     const json_t *m = json_object_get(o, "new");
-    if (!hex_id(json_object_get(o, "old"), &r->old_id))
+    if (!parse_hex_id(json_object_get(o, "old"), &r->old_id))
         return er_set(err, ER_BAD_INPUT, "old: expected a member id in hexadecimal");
-    if (!hex_id(json_object_get(m, "id"), &r->fresh.id))
+    if (!parse_hex_id(json_object_get(m, "id"), &r->new_member.id))
         return er_set(err, ER_BAD_INPUT,
                       "new.id: expected a member id in hexadecimal "
                       "(ferryctl status of the new node shows it)");
-    r->fresh.port = (int)json_integer_value(json_object_get(m, "port"));
-    if (r->fresh.port < 1 || r->fresh.port > 65535)
+    r->new_member.port = (int)json_integer_value(json_object_get(m, "port"));
+    if (r->new_member.port < 1 || r->new_member.port > 65535)
         return er_set(err, ER_BAD_INPUT, "new.port: expected 1..65535");
-    return text(m, "name", r->fresh.name, sizeof(r->fresh.name), err) &&
-           text(m, "ip", r->fresh.ip, sizeof(r->fresh.ip), err) &&
-           text(m, "domain", r->fresh.domain, sizeof(r->fresh.domain), err);
+    return get_text(m, "name", r->new_member.name, sizeof(r->new_member.name), err) &&
+           get_text(m, "ip", r->new_member.ip, sizeof(r->new_member.ip), err) &&
+           get_text(m, "domain", r->new_member.domain, sizeof(r->new_member.domain), err);
 }
 
 static bool parse_kind(const json_t *o, enum vw_intent_kind *kind, struct er_err *err)
@@ -79,10 +80,10 @@
         return false;
     if (r->kind == VW_IT_REPLACE)
         return parse_member(o, r, err);
-    if (!text(o, "group", r->group, sizeof(r->group), err))
+    if (!get_text(o, "group", r->group, sizeof(r->group), err))
         return false;
     if (r->kind == VW_IT_DRAIN || r->kind == VW_IT_UNDRAIN)
-        return text(o, "instance", r->instance, sizeof(r->instance), err);
+        return get_text(o, "instance", r->instance, sizeof(r->instance), err);
     if (r->kind == VW_IT_MOVE)
         return parse_instances(o, r, err);
     const json_t *age = json_object_get(o, "max_age_ms");
@@ -102,11 +103,11 @@
         return;
     va_list ap;
     va_start(ap, fmt);
-    vsnprintf(p->step[p->n++], IT_STEP_TEXT, fmt, ap);
+    vsnprintf(p->step[p->n++], IT_MAX_STEP_BYTES, fmt, ap);
     va_end(ap);
 }
 
-static bool in_new(const struct it_request *r, const char *id)
+static bool is_in_new_set(const struct it_request *r, const char *id)
 {
     for (int i = 0; i < r->n; i++) {
         if (strcmp(r->inst[i].id, id) == 0)
@@ -151,7 +152,7 @@
 static bool plan_move(const struct vw_view *v, const struct vw_group *g,
                       const struct it_request *r, struct it_plan *p, struct er_err *err)
 {
-    int added = 0, gone = 0;
+    int added = 0, n_old = 0;
     if (r->n < g->copies)
         return er_set(err, ER_BAD_INPUT, "%d instances, expected at least %d", r->n, g->copies);
     for (int i = 0; i < r->n; i++) {
@@ -170,10 +171,10 @@
                       g->n + added, VW_MAX_INSTANCES);
     step(p, "wait until the new instances hold everything");
     for (int i = 0; i < g->n; i++)
-        gone += !in_new(r, g->inst[i].id);
-    if (gone)
-        step(p, "drain %d old instances; the primary moves with writes parked", gone);
-    if (gone)
+        n_old += !is_in_new_set(r, g->inst[i].id);
+    if (n_old)
+        step(p, "drain %d old instances; the primary moves with writes parked", n_old);
+    if (n_old)
         step(p, "remove them once every entry node acts on that");
     return true;
 }
@@ -185,13 +186,14 @@
     for (uint32_t i = 0; i < m->n; i++) {
         if (m->m[i].id == r->old_id)
             old = &m->m[i];
-        if (m->m[i].id == r->fresh.id)
+        if (m->m[i].id == r->new_member.id)
             return er_set(err, ER_CONFLICT, "%s is a member already", m->m[i].name);
     }
     if (!old)
         return er_set(err, ER_BAD_INPUT, "no control member %llx",
                       (unsigned long long)r->old_id);
-    step(p, "%s (%s:%d) joins as a learner", r->fresh.name, r->fresh.ip, r->fresh.port);
+    step(p, "%s (%s:%d) joins as a learner", r->new_member.name, r->new_member.ip,
+         r->new_member.port);
     step(p, "wait until it holds everything, then it votes");
     step(p, "%s is removed", old->name);
     return true;
@@ -279,8 +281,8 @@
 }
 
 /* Hands the primary's role to an instance that stays in the group and is caught up. */
-static void hand_off(const struct vw_group *g, const struct it_request *r,
-                     const struct it_facts *f, struct it_action *a)
+static void next_hand_over(const struct vw_group *g, const struct it_request *r,
+                           const struct it_facts *f, struct it_action *a)
 {
     if (!f->settled) {
         wait_for(a, "a new leader deals out no connections yet; %s can wait", g->name);
@@ -288,7 +290,7 @@
     }
     for (int i = 0; i < g->n; i++) {
         const struct vw_instance *in = &g->inst[i];
-        bool wanted = r->kind != VW_IT_MOVE || in_new(r, in->id);
+        bool wanted = r->kind != VW_IT_MOVE || is_in_new_set(r, in->id);
         if (i == g->primary || in->draining || !wanted || !f->caught_up(f->ud, g->name, in->id))
             continue;
         change(a, VW_CH_HAND, g, in->id);
@@ -310,7 +312,7 @@
     } else if (g->phase != VW_SERVING) {
         wait_for(a, "%s is changing its primary", g->name);
     } else if (i == g->primary) {
-        hand_off(g, r, f, a);
+        next_hand_over(g, r, f, a);
     } else if (!f->in_force) {
         wait_for(a, "not every entry node acts on it yet");
     } else {
@@ -327,7 +329,8 @@
         change(a, VW_CH_DRAIN, g, r->instance); /* flag not set: draining ends */
 }
 
-static bool move_add(const struct vw_group *g, const struct it_request *r, struct it_action *a)
+static bool next_addition(const struct vw_group *g, const struct it_request *r,
+                          struct it_action *a)
 {
     for (int i = 0; i < r->n; i++) {
         if (vw_instance(g, r->inst[i].id) >= 0)
@@ -343,17 +346,18 @@
                           const struct it_facts *f)
 {
     for (int i = 0; i < g->n; i++) {
-        if (i != g->primary && in_new(r, g->inst[i].id) &&
+        if (i != g->primary && is_in_new_set(r, g->inst[i].id) &&
             !f->caught_up(f->ud, g->name, g->inst[i].id))
             return false;
     }
     return true;
 }
 
-static int first_old(const struct vw_group *g, const struct it_request *r, bool draining)
+static int find_old(const struct vw_group *g, const struct it_request *r, bool draining)
 {
     for (int i = 0; i < g->n; i++) {
-        if (!in_new(r, g->inst[i].id) && g->inst[i].draining == draining && i != g->primary)
+        if (!is_in_new_set(r, g->inst[i].id) && g->inst[i].draining == draining &&
+            i != g->primary)
             return i;
     }
     return -1;
@@ -365,16 +369,16 @@
     int i;
     if (g->phase != VW_SERVING) {
         wait_for(a, "%s is changing its primary", g->name);
-    } else if (move_add(g, r, a)) {
+    } else if (next_addition(g, r, a)) {
         return;
     } else if (!all_caught_up(g, r, f)) {
         wait_for(a, "the new instances of %s are catching up", g->name);
-    } else if (!in_new(r, g->inst[g->primary].id)) {
-        hand_off(g, r, f, a);
-    } else if ((i = first_old(g, r, false)) >= 0) {
+    } else if (!is_in_new_set(r, g->inst[g->primary].id)) {
+        next_hand_over(g, r, f, a);
+    } else if ((i = find_old(g, r, false)) >= 0) {
         change(a, VW_CH_DRAIN, g, g->inst[i].id);
         a->change.flag = true;
-    } else if ((i = first_old(g, r, true)) < 0) {
+    } else if ((i = find_old(g, r, true)) < 0) {
         a->kind = IT_DONE;
     } else if (!f->in_force) {
         /* Until then a node may count the leaving instance as a copy of a write. */
@@ -400,11 +404,11 @@
     const struct qr_member *fresh = NULL;
     bool old = false;
     for (uint32_t i = 0; i < f->members->n; i++) {
-        if (f->members->m[i].id == r->fresh.id)
+        if (f->members->m[i].id == r->new_member.id)
             fresh = &f->members->m[i];
         old = old || f->members->m[i].id == r->old_id;
     }
-    a->member = r->fresh;
+    a->member = r->new_member;
     if (!fresh) {
         a->kind = old ? IT_ADD : IT_DONE;
     } else if (!fresh->voter && !f->learner_ready(f->ud, fresh->id)) {
--- a/intent/intent.h
+++ b/intent/intent.h
@@ -10,7 +10,7 @@
 #include "quorum/quorum.h"
 #include "view/view.h"
 
-enum { IT_STEP_TEXT = 160 };
+enum { IT_MAX_STEP_BYTES = 160 };
 
 struct it_request {
     enum vw_intent_kind kind;
@@ -19,13 +19,13 @@
     int64_t max_age_ms;     /* rule */
     int n;                  /* move: number of the group's new instances */
     struct vw_instance inst[VW_MAX_INSTANCES];
-    uint64_t old_id;        /* replace: the voter to remove */
-    struct qr_member fresh; /* replace: the member to add */
+    uint64_t old_id;             /* replace: the voter to remove */
+    struct qr_member new_member; /* replace: the member to add */
 };
 
 struct it_plan {
     int n;
-    char step[VW_MAX_STEPS][IT_STEP_TEXT];
+    char step[VW_MAX_STEPS][IT_MAX_STEP_BYTES];
     char digest[24];
     uint64_t generation; /* of the view from which the plan was made */
     uint64_t number;     /* the next unused intent number */
--- a/tests/unit/test_text.c
+++ b/tests/unit/test_text.c
@@ -95,10 +95,11 @@
     m[n++] = (struct wr_msg){.type = WR_NODES, .nodes = {1, &node}};
     static struct sr_str gone[] = {SR_LIT("e1"), SR_LIT("e2")};
     m[n++] = (struct wr_msg){.type = WR_NODES, .nodes = {1, &node, 7, 8, 2, gone}};
-    static struct wr_node many[WR_PACK_NODES_ABOVE + 1];
-    for (int i = 0; i <= WR_PACK_NODES_ABOVE; i++)
+    static struct wr_node many[WR_DEFLATE_ABOVE_NODES + 1];
+    for (int i = 0; i <= WR_DEFLATE_ABOVE_NODES; i++)
         many[i] = node;
-    m[n++] = (struct wr_msg){.type = WR_NODES, .nodes = {WR_PACK_NODES_ABOVE + 1, many, 0, 9}};
+    m[n++] =
+        (struct wr_msg){.type = WR_NODES, .nodes = {WR_DEFLATE_ABOVE_NODES + 1, many, 0, 9}};
     m[n++] =
         (struct wr_msg){.type = WR_RENEW, .renew = {1, 2, 3, false, 2, shares, 4, .nodes = 9}};
     m[n++] = (struct wr_msg){.type = WR_PROBES, .probes = {1, &probe}};
--- a/wire/claims.c
+++ b/wire/claims.c
@@ -17,7 +17,7 @@
 }
 
 /* Reads a big-endian number of this many bytes. */
-static bool number(struct scan *s, int bytes, uint64_t *out)
+static bool read_number(struct scan *s, int bytes, uint64_t *out)
 {
     const unsigned char *p = s->p;
     *out = 0;
@@ -30,14 +30,14 @@
 
 /* Skips a string, binary or extension value: a length of 1, 2 or 4 bytes, that many bytes of
  * content, and `more` bytes for the extension type. */
-static bool sized(struct scan *s, int bytes, int more)
+static bool skip_sized(struct scan *s, int bytes, int more)
 {
     uint64_t n;
-    return number(s, bytes, &n) && skip(s, n + (uint64_t)more);
+    return read_number(s, bytes, &n) && skip(s, n + (uint64_t)more);
 }
 
 /* Skips the bytes after the first one of a value that is no array or map. */
-static bool plain(struct scan *s, unsigned char type)
+static bool skip_scalar(struct scan *s, unsigned char type)
 {
     static const unsigned char fixed[] = {
         [0xca - 0xc0] = 4, [0xcb - 0xc0] = 8, [0xcc - 0xc0] = 1, [0xcd - 0xc0] = 2,
@@ -47,23 +47,23 @@
     if (type >= 0xa0 && type <= 0xbf)
         return skip(s, type & 0x1f);
     if (type >= 0xc4 && type <= 0xc6)
-        return sized(s, 1 << (type - 0xc4), 0);
+        return skip_sized(s, 1 << (type - 0xc4), 0);
     if (type >= 0xc7 && type <= 0xc9)
-        return sized(s, 1 << (type - 0xc7), 1);
+        return skip_sized(s, 1 << (type - 0xc7), 1);
     if (type >= 0xd9 && type <= 0xdb)
-        return sized(s, 1 << (type - 0xd9), 0);
+        return skip_sized(s, 1 << (type - 0xd9), 0);
     return skip(s, fixed[type - 0xc0]);
 }
 
 /* Sets *is if the type byte begins an array or a map, and *n to the number of its values. */
-static bool list(struct scan *s, unsigned char type, bool *is, uint64_t *n)
+static bool read_list_header(struct scan *s, unsigned char type, bool *is, uint64_t *n)
 {
     bool map = (type >= 0x80 && type <= 0x8f) || type == 0xde || type == 0xdf;
     bool ok = true;
     *is = map || (type >= 0x90 && type <= 0x9f) || type == 0xdc || type == 0xdd;
     *n = type & 0x0f;
     if (type >= 0xdc && type <= 0xdf)
-        ok = number(s, type % 2 ? 4 : 2, n);
+        ok = read_number(s, type % 2 ? 4 : 2, n);
     if (map)
         *n *= 2;
     return ok;
@@ -72,29 +72,29 @@
 bool cm_holds(const char *data, size_t len)
 {
     struct scan s = {(const unsigned char *)data, len};
-    uint64_t due[CM_MAX_DEPTH + 1] = {1}; /* values still to be read, by depth */
+    uint64_t pending[CM_MAX_DEPTH + 1] = {1}; /* values still to be read, by depth */
     int depth = 0;
-    while (due[0] > 0 || depth > 0) {
+    while (pending[0] > 0 || depth > 0) {
         bool is_list;
         uint64_t n;
-        if (due[depth] == 0) {
+        if (pending[depth] == 0) {
             depth--;
             continue;
         }
-        due[depth]--;
+        pending[depth]--;
         if (s.left == 0)
             return false;
         unsigned char type = *s.p;
         skip(&s, 1);
         if (type < 0x80 || type >= 0xe0)
             continue; /* a small integer, the most frequent type in a message */
-        if (!list(&s, type, &is_list, &n) || (!is_list && !plain(&s, type)))
+        if (!read_list_header(&s, type, &is_list, &n) || (!is_list && !skip_scalar(&s, type)))
             return false;
         if (!is_list)
             continue;
         if (n > s.left || depth == CM_MAX_DEPTH)
             return false;
-        due[++depth] = n;
+        pending[++depth] = n;
     }
     return true;
 }
--- a/wire/decode.c
+++ b/wire/decode.c
@@ -9,21 +9,21 @@
 #include <zlib.h>
 
 /* A cursor over an array. `bad` is set by an element of a wrong type or out of bounds. */
-struct rd {
+struct reader {
     const msgpack_object_array *a;
     uint32_t i;
     bool bad;
     msgpack_zone *zone;
 };
 
-static const msgpack_object *next(struct rd *r)
+static const msgpack_object *next_field(struct reader *r)
 {
     return r->i < r->a->size ? &r->a->ptr[r->i++] : NULL;
 }
 
-static uint64_t get_u(struct rd *r)
+static uint64_t get_u(struct reader *r)
 {
-    const msgpack_object *o = next(r);
+    const msgpack_object *o = next_field(r);
     if (!o)
         return 0;
     if (o->type != MSGPACK_OBJECT_POSITIVE_INTEGER)
@@ -32,7 +32,7 @@
 }
 
 /* Reads an unsigned number of at most `max`. */
-static uint32_t get_max(struct rd *r, uint64_t max)
+static uint32_t get_max(struct reader *r, uint64_t max)
 {
     uint64_t v = get_u(r);
     if (v > max)
@@ -40,9 +40,9 @@
     return r->bad ? 0 : (uint32_t)v;
 }
 
-static bool get_b(struct rd *r)
+static bool get_b(struct reader *r)
 {
-    const msgpack_object *o = next(r);
+    const msgpack_object *o = next_field(r);
     if (!o)
         return false;
     if (o->type != MSGPACK_OBJECT_BOOLEAN)
@@ -50,9 +50,9 @@
     return !r->bad && o->via.boolean;
 }
 
-static struct sr_str get_s(struct rd *r)
+static struct sr_str get_s(struct reader *r)
 {
-    const msgpack_object *o = next(r);
+    const msgpack_object *o = next_field(r);
     if (!o)
         return SR_LIT("");
     if (o->type != MSGPACK_OBJECT_BIN) {
@@ -62,17 +62,17 @@
     return (struct sr_str){o->via.bin.ptr ? o->via.bin.ptr : "", o->via.bin.size};
 }
 
-static void get_field(struct rd *r, char *dst, size_t cap)
+static void get_field(struct reader *r, char *dst, size_t cap)
 {
     if (!sr_copy(dst, cap, get_s(r)))
         r->bad = true;
 }
 
-static struct rd get_list(struct rd *r, uint32_t max)
+static struct reader get_list(struct reader *r, uint32_t max)
 {
     static const msgpack_object_array none;
-    const msgpack_object *o = next(r);
-    struct rd in = {&none, 0, false, r->zone};
+    const msgpack_object *o = next_field(r);
+    struct reader in = {&none, 0, false, r->zone};
     if (!o)
         return in;
     if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size > max) {
@@ -83,7 +83,7 @@
     return in;
 }
 
-static void *room(struct rd *r, size_t n, size_t size)
+static void *zone_alloc(struct reader *r, size_t n, size_t size)
 {
     void *p = msgpack_zone_malloc(r->zone, n * size + 1);
     if (!p)
@@ -92,21 +92,21 @@
     return p;
 }
 
-/* Reads what put_packed wrote. At most `max` bytes are inflated, whatever length the sender
+/* Reads what put_deflated wrote. At most `max` bytes are inflated, whatever length the sender
  * announces. */
-static struct sr_str get_packed(struct rd *r, uint64_t max)
+static struct sr_str get_deflated(struct reader *r, uint64_t max)
 {
     struct sr_str s = get_s(r);
     uLongf len = get_max(r, max);
     if (r->bad || len == 0)
         return s;
-    char *p = room(r, len, 1);
+    char *p = zone_alloc(r, len, 1);
     if (uncompress((Bytef *)p, &len, (const Bytef *)s.p, s.len) != Z_OK)
         r->bad = true;
     return r->bad ? SR_LIT("") : (struct sr_str){p, len};
 }
 
-static void get_hello(struct rd *r, struct wr_hello *h)
+static void get_hello(struct reader *r, struct wr_hello *h)
 {
     h->version = get_max(r, UINT32_MAX);
     h->cluster = get_s(r);
@@ -121,12 +121,12 @@
     h->http = get_max(r, 65535);
 }
 
-static const struct qr_members *get_members(struct rd *r)
+static const struct qr_members *get_members(struct reader *r)
 {
-    struct rd list = get_list(r, QR_MAX_MEMBERS);
-    struct qr_members *m = room(r, 1, sizeof(*m));
+    struct reader list = get_list(r, QR_MAX_MEMBERS);
+    struct qr_members *m = zone_alloc(r, 1, sizeof(*m));
     for (uint32_t i = 0; i < list.a->size && !r->bad; i++) {
-        struct rd one = get_list(&list, 64);
+        struct reader one = get_list(&list, 64);
         struct qr_member *p = &m->m[m->n++];
         p->id = get_u(&one);
         p->voter = get_b(&one);
@@ -139,14 +139,14 @@
     return m;
 }
 
-static void get_entries(struct rd *r, struct qr_msg *m)
+static void get_entries(struct reader *r, struct qr_msg *m)
 {
-    struct rd list = get_list(r, QR_MAX_BATCH);
-    struct qr_entry *e = room(r, list.a->size, sizeof(*e));
+    struct reader list = get_list(r, QR_MAX_BATCH);
+    struct qr_entry *e = zone_alloc(r, list.a->size, sizeof(*e));
     m->n = list.a->size;
     m->entries = e;
     for (uint32_t i = 0; i < m->n && !r->bad; i++) {
-        struct rd one = get_list(&list, 64);
+        struct reader one = get_list(&list, 64);
         e[i].index = get_u(&one);
         e[i].term = get_u(&one);
         e[i].type = (enum qr_entry_type)get_max(&one, QR_MEMBERS);
@@ -163,7 +163,7 @@
     }
 }
 
-static void get_quorum(struct rd *r, struct qr_msg *m)
+static void get_quorum(struct reader *r, struct qr_msg *m)
 {
     m->type = (enum qr_msg_type)get_max(r, QR_TIMEOUT_NOW);
     m->from = get_u(r);
@@ -183,13 +183,13 @@
     m->fresh = get_b(r);
 }
 
-static struct wr_share *get_shares(struct rd *r, uint32_t *n)
+static struct wr_share *get_shares(struct reader *r, uint32_t *n)
 {
-    struct rd list = get_list(r, WR_MAX_SHARES);
-    struct wr_share *s = room(r, list.a->size, sizeof(*s));
+    struct reader list = get_list(r, WR_MAX_SHARES);
+    struct wr_share *s = zone_alloc(r, list.a->size, sizeof(*s));
     *n = list.a->size;
     for (uint32_t i = 0; i < *n && !r->bad; i++) {
-        struct rd one = get_list(&list, 64);
+        struct reader one = get_list(&list, 64);
         s[i].inst = get_s(&one);
         s[i].held = get_max(&one, 100000);
         s[i].want = get_max(&one, 100000);
@@ -198,13 +198,13 @@
     return s;
 }
 
-static struct wr_permit *get_permits(struct rd *r, uint32_t *n)
+static struct wr_permit *get_permits(struct reader *r, uint32_t *n)
 {
-    struct rd list = get_list(r, WR_MAX_PERMITS);
-    struct wr_permit *p = room(r, list.a->size, sizeof(*p));
+    struct reader list = get_list(r, WR_MAX_PERMITS);
+    struct wr_permit *p = zone_alloc(r, list.a->size, sizeof(*p));
     *n = list.a->size;
     for (uint32_t i = 0; i < *n && !r->bad; i++) {
-        struct rd one = get_list(&list, 64);
+        struct reader one = get_list(&list, 64);
         p[i].account = get_s(&one);
         p[i].given = get_max(&one, LM_MOST);
         p[i].over_ms = get_max(&one, UINT32_MAX);
@@ -213,13 +213,13 @@
     return p;
 }
 
-static struct wr_permit_ask *get_permit_asks(struct rd *r, uint32_t *n)
+static struct wr_permit_ask *get_permit_asks(struct reader *r, uint32_t *n)
 {
-    struct rd list = get_list(r, WR_MAX_PERMITS);
-    struct wr_permit_ask *a = room(r, list.a->size, sizeof(*a));
+    struct reader list = get_list(r, WR_MAX_PERMITS);
+    struct wr_permit_ask *a = zone_alloc(r, list.a->size, sizeof(*a));
     *n = list.a->size;
     for (uint32_t i = 0; i < *n && !r->bad; i++) {
-        struct rd one = get_list(&list, 64);
+        struct reader one = get_list(&list, 64);
         a[i].account = get_s(&one);
         a[i].held = get_max(&one, LM_MOST);
         a[i].want = get_max(&one, LM_MOST);
@@ -230,7 +230,7 @@
 }
 
 /* WR_SHARES: the shares that a node may hold now. */
-static void get_told(struct rd *r, struct wr_shares *s)
+static void get_shares_message(struct reader *r, struct wr_shares *s)
 {
     s->shares = get_shares(r, &s->n);
     s->seq = get_u(r);
@@ -238,14 +238,14 @@
     s->renewal = get_u(r);
 }
 
-static void get_view(struct rd *r, struct wr_view *v)
+static void get_view(struct reader *r, struct wr_view *v)
 {
     v->from = get_u(r);
     v->to = get_u(r);
-    v->text = get_packed(r, WR_MAX_VIEW);
+    v->text = get_deflated(r, WR_MAX_VIEW_BYTES);
 }
 
-static void get_renew(struct rd *r, struct wr_renew *m)
+static void get_renew(struct reader *r, struct wr_renew *m)
 {
     m->seq = get_u(r);
     m->generation = get_u(r);
@@ -259,7 +259,7 @@
     m->all_permits = get_b(r);
 }
 
-static void get_grant(struct rd *r, struct wr_grant *g)
+static void get_grant(struct reader *r, struct wr_grant *g)
 {
     g->seq = get_u(r);
     g->hlc = get_u(r);
@@ -268,20 +268,20 @@
     g->knows_permits = get_u(r) != 0; /* usually absent */
 }
 
-static void get_check(struct rd *r, struct wr_check *c)
+static void get_check(struct reader *r, struct wr_check *c)
 {
     c->nonce = get_u(r);
     c->inst = get_s(r);
     c->health = (enum wr_health)get_max(r, WR_UNFIT);
 }
 
-static void get_probes(struct rd *r, struct wr_probes *p)
+static void get_probes(struct reader *r, struct wr_probes *p)
 {
-    struct rd list = get_list(r, WR_MAX_PROBES);
+    struct reader list = get_list(r, WR_MAX_PROBES);
     p->n = list.a->size;
-    p->probes = room(r, p->n, sizeof(*p->probes));
+    p->probes = zone_alloc(r, p->n, sizeof(*p->probes));
     for (uint32_t i = 0; i < p->n && !r->bad; i++) {
-        struct rd one = get_list(&list, 64);
+        struct reader one = get_list(&list, 64);
         struct wr_probe *x = &p->probes[i];
         x->inst = get_s(&one);
         x->health = (enum wr_health)get_max(&one, WR_REFUSED);
@@ -294,13 +294,13 @@
     }
 }
 
-static void get_node_list(struct rd *r, struct wr_nodes *m)
+static void get_node_list(struct reader *r, struct wr_nodes *m)
 {
-    struct rd list = get_list(r, WR_MAX_NODES);
+    struct reader list = get_list(r, WR_MAX_NODES);
     m->n = list.a->size;
-    m->nodes = room(r, m->n, sizeof(*m->nodes));
+    m->nodes = zone_alloc(r, m->n, sizeof(*m->nodes));
     for (uint32_t i = 0; i < m->n && !r->bad; i++) {
-        struct rd one = get_list(&list, 64);
+        struct reader one = get_list(&list, 64);
         m->nodes[i].name = get_s(&one);
         m->nodes[i].domain = get_s(&one);
         m->nodes[i].ip = get_s(&one);
@@ -320,11 +320,11 @@
     return may && !cm_holds(data, len);
 }
 
-static void get_gone(struct rd *r, struct wr_nodes *m)
+static void get_removed(struct reader *r, struct wr_nodes *m)
 {
-    struct rd list = get_list(r, WR_MAX_NODES);
+    struct reader list = get_list(r, WR_MAX_NODES);
     m->n_gone = list.a->size;
-    m->gone = room(r, m->n_gone, sizeof(*m->gone));
+    m->gone = zone_alloc(r, m->n_gone, sizeof(*m->gone));
     for (uint32_t i = 0; i < m->n_gone && !r->bad; i++) {
         m->gone[i] = get_s(&list);
         r->bad = r->bad || list.bad;
@@ -332,9 +332,9 @@
 }
 
 /* Reads a node list that was sent deflated. */
-static void get_packed_list(struct rd *r, struct wr_nodes *m)
+static void get_deflated_list(struct reader *r, struct wr_nodes *m)
 {
-    struct sr_str s = get_packed(r, (uint64_t)WR_MAX_NODES * WR_MAX_NODE_BYTES);
+    struct sr_str s = get_deflated(r, (uint64_t)WR_MAX_NODES * WR_MAX_NODE_BYTES);
     msgpack_object o;
     size_t off = 0;
     if (r->bad || s.len == 0)
@@ -345,21 +345,21 @@
         return;
     }
     msgpack_object_array one = {1, &o};
-    struct rd in = {&one, 0, false, r->zone};
+    struct reader in = {&one, 0, false, r->zone};
     get_node_list(&in, m);
     r->bad = in.bad;
 }
 
-static void get_nodes(struct rd *r, struct wr_nodes *m)
+static void get_nodes(struct reader *r, struct wr_nodes *m)
 {
     get_node_list(r, m);
     m->from = get_u(r);
     m->to = get_u(r);
-    get_gone(r, m);
-    get_packed_list(r, m);
+    get_removed(r, m);
+    get_deflated_list(r, m);
 }
 
-static void get_body(struct rd *r, struct wr_msg *m)
+static void get_body(struct reader *r, struct wr_msg *m)
 {
     switch (m->type) {
     case WR_HELLO:
@@ -384,7 +384,7 @@
         m->ack = get_u(r);
         break;
     case WR_SHARES:
-        get_told(r, &m->shares);
+        get_shares_message(r, &m->shares);
         break;
     case WR_CHECK:
     case WR_CHECKED:
@@ -419,7 +419,7 @@
     msgpack_unpack_return rc = msgpack_unpack(data, len, &off, &d->zone, &o);
     if (rc != MSGPACK_UNPACK_SUCCESS || o.type != MSGPACK_OBJECT_ARRAY || o.via.array.size < 1)
         return er_set(err, ER_BAD_INPUT, "message of %zu bytes: expected a msgpack array", len);
-    struct rd r = {&o.via.array, 0, false, &d->zone};
+    struct reader r = {&o.via.array, 0, false, &d->zone};
     uint64_t type = get_u(&r);
     if (r.bad || type < WR_HELLO || type > WR_CONTROLS)
         return er_set(err, ER_BAD_INPUT, "unknown message type %llu", (unsigned long long)type);
--- a/wire/encode.c
+++ b/wire/encode.c
@@ -31,7 +31,7 @@
 }
 
 /* Writes the deflated text and its original length. */
-static void put_packed(msgpack_packer *pk, struct sr_str s)
+static void put_deflated(msgpack_packer *pk, struct sr_str s)
 {
     uLongf len = compressBound(s.len);
     Bytef *p = sr_alloc(len);
@@ -42,7 +42,7 @@
     free(p);
 }
 
-static void head(msgpack_packer *pk, enum wr_type type, size_t fields)
+static void put_header(msgpack_packer *pk, enum wr_type type, size_t fields)
 {
     msgpack_pack_array(pk, fields + 1);
     put_u(pk, type);
@@ -50,7 +50,7 @@
 
 static void put_hello(msgpack_packer *pk, const struct wr_hello *h)
 {
-    head(pk, WR_HELLO, h->http ? 11 : 9u + (h->carries > 0));
+    put_header(pk, WR_HELLO, h->http ? 11 : 9u + (h->carries > 0));
     put_u(pk, h->version);
     put_s(pk, h->cluster);
     put_s(pk, h->name);
@@ -95,7 +95,7 @@
 
 static void put_quorum(msgpack_packer *pk, const struct qr_msg *m)
 {
-    head(pk, WR_QUORUM, m->fresh ? 14 : 13); /* absent: false */
+    put_header(pk, WR_QUORUM, m->fresh ? 14 : 13); /* absent: false */
     put_u(pk, m->type);
     put_u(pk, m->from);
     put_u(pk, m->to);
@@ -117,12 +117,12 @@
 
 static void put_view(msgpack_packer *pk, const struct wr_view *v)
 {
-    bool packed = v->text.len > WR_PACK_ABOVE;
-    head(pk, WR_VIEW, packed ? 4 : 3); /* without the length the text is not deflated */
+    bool deflated = v->text.len > WR_DEFLATE_ABOVE_BYTES;
+    put_header(pk, WR_VIEW, deflated ? 4 : 3); /* without the length the text is not deflated */
     put_u(pk, v->from);
     put_u(pk, v->to);
-    if (packed)
-        put_packed(pk, v->text);
+    if (deflated)
+        put_deflated(pk, v->text);
     else
         put_s(pk, v->text);
 }
@@ -155,7 +155,7 @@
     /* An absent field reads as zero, so trailing zero fields are left out. */
     bool all = r->all_permits, permits = r->n_permits > 0 || all;
     bool nodes = r->nodes || permits, leaving = r->leaving || nodes;
-    head(pk, WR_RENEW, 6u + leaving + nodes + permits + all);
+    put_header(pk, WR_RENEW, 6u + leaving + nodes + permits + all);
     put_u(pk, r->seq);
     put_u(pk, r->generation);
     put_u(pk, r->hlc);
@@ -174,7 +174,7 @@
 
 static void put_grant(msgpack_packer *pk, const struct wr_grant *g)
 {
-    head(pk, WR_GRANT, g->knows_permits ? 5 : 4);
+    put_header(pk, WR_GRANT, g->knows_permits ? 5 : 4);
     put_u(pk, g->seq);
     put_u(pk, g->hlc);
     put_u(pk, g->duration_ms);
@@ -185,7 +185,7 @@
 
 static void put_check(msgpack_packer *pk, enum wr_type type, const struct wr_check *c)
 {
-    head(pk, type, 3);
+    put_header(pk, type, 3);
     put_u(pk, c->nonce);
     put_s(pk, c->inst);
     put_u(pk, c->health);
@@ -193,7 +193,7 @@
 
 static void put_probes(msgpack_packer *pk, const struct wr_probes *p)
 {
-    head(pk, WR_PROBES, 1);
+    put_header(pk, WR_PROBES, 1);
     msgpack_pack_array(pk, p->n);
     for (uint32_t i = 0; i < p->n; i++) {
         const struct wr_probe *x = &p->probes[i];
@@ -224,17 +224,17 @@
 
 static void put_controls(msgpack_packer *pk, const struct wr_nodes *n)
 {
-    head(pk, WR_CONTROLS, 1);
+    put_header(pk, WR_CONTROLS, 1);
     put_node_list(pk, n);
 }
 
 /* A long list is sent deflated as the last field; the plain list is empty then. */
 static void put_nodes(msgpack_packer *pk, const struct wr_nodes *n)
 {
-    bool packed = n->to && n->n > WR_PACK_NODES_ABOVE;
+    bool deflated = n->to && n->n > WR_DEFLATE_ABOVE_NODES;
     struct wr_nodes none = {0};
-    head(pk, WR_NODES, packed ? 6 : n->to ? 4 : 1);
-    put_node_list(pk, packed ? &none : n);
+    put_header(pk, WR_NODES, deflated ? 6 : n->to ? 4 : 1);
+    put_node_list(pk, deflated ? &none : n);
     if (!n->to)
         return;
     put_u(pk, n->from);
@@ -242,25 +242,25 @@
     msgpack_pack_array(pk, n->n_gone);
     for (uint32_t i = 0; i < n->n_gone; i++)
         put_s(pk, n->gone[i]);
-    if (!packed)
+    if (!deflated)
         return;
     struct sr_buf list = {0};
     msgpack_packer inner;
     msgpack_packer_init(&inner, &list, append);
     put_node_list(&inner, n);
-    put_packed(pk, (struct sr_str){list.p, list.len});
+    put_deflated(pk, (struct sr_str){list.p, list.len});
     sr_buf_free(&list);
 }
 
 static void put_not_leader(msgpack_packer *pk, struct sr_str leader)
 {
-    head(pk, WR_NOT_LEADER, 1);
+    put_header(pk, WR_NOT_LEADER, 1);
     put_s(pk, leader);
 }
 
 static void put_ack(msgpack_packer *pk, uint64_t generation)
 {
-    head(pk, WR_ACK, 1);
+    put_header(pk, WR_ACK, 1);
     put_u(pk, generation);
 }
 
@@ -276,9 +276,9 @@
 }
 
 /* WR_SHARES: the shares that a node may hold now. */
-static void put_told(msgpack_packer *pk, const struct wr_shares *s)
+static void put_shares_message(msgpack_packer *pk, const struct wr_shares *s)
 {
-    head(pk, WR_SHARES, s->n_permits ? 4 : 2);
+    put_header(pk, WR_SHARES, s->n_permits ? 4 : 2);
     put_shares(pk, s->shares, s->n);
     put_u(pk, s->seq);
     if (s->n_permits) {
@@ -314,7 +314,7 @@
         put_ack(&pk, m->ack);
         break;
     case WR_SHARES:
-        put_told(&pk, &m->shares);
+        put_shares_message(&pk, &m->shares);
         break;
     case WR_CHECK:
     case WR_CHECKED:
--- a/wire/wire.h
+++ b/wire/wire.h
@@ -177,10 +177,10 @@
 enum {
     /* A view with a longer text is sent deflated: a document of 700 routes shrinks to a tenth,
      * and nodes may have links of 2 Mbit/s only. */
-    WR_PACK_ABOVE = 1024,
-    WR_MAX_VIEW = 16 << 20, /* limit of such a text after inflating */
+    WR_DEFLATE_ABOVE_BYTES = 1024,
+    WR_MAX_VIEW_BYTES = 16 << 20, /* limit of such a text after inflating */
     /* A longer list of nodes is sent deflated: 300 nodes take 2 KB instead of 11 KB. */
-    WR_PACK_NODES_ABOVE = 16,
+    WR_DEFLATE_ABOVE_NODES = 16,
     WR_MAX_NODE_BYTES = 256, /* limit of one node of such a list after inflating */
 };
 
