--- a/control/takeovers.c
+++ b/control/takeovers.c
@@ -89,7 +89,7 @@
     tl_add(n->tl, TL_PROMOTED, group, token, "order %s", names[what]);
     FL_EVENT(&n->log, LG_INFO, "order_answered", "group=%s term=%llu outcome=%s", group,
              (unsigned long long)token, names[what]);
-    tk_called(&g->tk, token, what, ck_now());
+    tk_call_result(&g->tk, token, what, ck_now());
     ct_group_tick(n, g);
 }
 
--- a/takeover/takeover.c
+++ b/takeover/takeover.c
@@ -312,7 +312,7 @@
     add_action(out, TK_DO_PROBE, t->target, 0);
 }
 
-void tk_called(struct tk_group *t, uint64_t term, enum tk_outcome what, int64_t now)
+void tk_call_result(struct tk_group *t, uint64_t term, enum tk_outcome what, int64_t now)
 {
     if (term != t->term || t->step != TK_CALLED)
         return;
--- a/takeover/takeover.h
+++ b/takeover/takeover.h
@@ -79,7 +79,7 @@
     TK_DO_CHECK,   /* ask entry nodes about `inst`; reply with tk_checks_sent, tk_check_reply */
     TK_DO_REPLACE, /* propose VW_CH_REPLACE with `term` */
     TK_DO_HAND,    /* propose VW_CH_HAND with `term` to `inst` */
-    TK_DO_CALL,    /* call for `inst` with the token `term`; reply with tk_called */
+    TK_DO_CALL,    /* call for `inst` with the token `term`; reply with tk_call_result */
     TK_DO_PRIMARY, /* propose VW_CH_PRIMARY: `inst`, `term` */
     TK_DO_PROBE,   /* request the status of `inst` now */
 };
@@ -118,7 +118,7 @@
 /* The reply of one entry node to the check with `nonce`. */
 void tk_check_reply(struct tk_group *t, uint64_t nonce, enum tk_health health);
 /* The outcome of the call with the token `term`. */
-void tk_called(struct tk_group *t, uint64_t term, enum tk_outcome what, int64_t now);
+void tk_call_result(struct tk_group *t, uint64_t term, enum tk_outcome what, int64_t now);
 /* Decides the next actions. `dropped`: no entry node acts on a view older than the change that
  * began the phase. */
 void tk_tick(struct tk_group *t, const struct vw_group *g, bool dropped, int64_t now,
--- a/tests/unit/test_takeover.c
+++ b/tests/unit/test_takeover.c
@@ -93,7 +93,7 @@
     until_called();
     CU_ASSERT_EQUAL(done(TK_DO_CALL)->inst, 1);
     CU_ASSERT_EQUAL(done(TK_DO_CALL)->term, 2);
-    tk_called(&t, 2, TK_DONE, now);
+    tk_call_result(&t, 2, TK_DONE, now);
     tick(true);
     CU_ASSERT_PTR_NULL(done(TK_DO_PRIMARY)); /* it does not lead yet */
     say("b", true, 100);
@@ -172,10 +172,10 @@
     say("c", true, 95);
     tick(true);
     CU_ASSERT_PTR_NULL(done(TK_DO_PRIMARY));
-    tk_called(&t, 2, TK_DONE, now); /* the late one's answer says nothing of this one */
+    tk_call_result(&t, 2, TK_DONE, now); /* the late one's answer says nothing of this one */
     tick(true);
     CU_ASSERT_PTR_NULL(done(TK_DO_PRIMARY));
-    tk_called(&t, 3, TK_DONE, now);
+    tk_call_result(&t, 3, TK_DONE, now);
     tick(true);
     CU_ASSERT_PTR_NOT_NULL(done(TK_DO_PRIMARY));
 }
@@ -195,7 +195,7 @@
 static void refused_call_goes_elsewhere(void)
 {
     until_called();
-    tk_called(&t, 2, TK_REFUSED_CALL, now);
+    tk_call_result(&t, 2, TK_REFUSED_CALL, now);
     tick(true);
     CU_ASSERT_PTR_NOT_NULL_FATAL(done(TK_DO_REPLACE));
     commit(done(TK_DO_REPLACE));
