--- a/bench/decisions.c
+++ b/bench/decisions.c
@@ -141,7 +141,7 @@
     for (int i = 0; i < n; i++) {
         int64_t now = CK_MS(5) * i;
         pr_probed(&p, "a", 1, "d1", PR_UP, now);
-        pr_said(&p, "a", true, 0, 0, (struct ps_pos){0, 0}, now);
+        pr_set_status(&p, "a", true, 0, 0, (struct ps_pos){0, 0}, now);
         pr_tick(&p, &g, true, now, &a);
         keep += (uint64_t)a.n;
     }
--- a/bench/messages.c
+++ b/bench/messages.c
@@ -57,8 +57,8 @@
             pr_probed(&w->p, id, (uint64_t)v + 1, (const char *[]){"a", "b", "c"}[v],
                       dead ? PR_REFUSED : PR_UP, w->now);
         if (!dead)
-            pr_said(&w->p, id, i == w->g.primary, w->g.term, w->g.term, (struct ps_pos){1, 100},
-                    w->now);
+            pr_set_status(&w->p, id, i == w->g.primary, w->g.term, w->g.term,
+                          (struct ps_pos){1, 100}, w->now);
     }
     pr_tick(&w->p, &w->g, true, w->now, &acts);
     for (int i = 0; i < acts.n; i++)
--- a/control/promotions.c
+++ b/control/promotions.c
@@ -107,7 +107,7 @@
 
 static void said(struct ct_group *g, const char *inst, const struct ep_reply *r)
 {
-    pr_said(&g->pr, inst, r->primary, r->term, r->following, r->held, ck_now());
+    pr_set_status(&g->pr, inst, r->primary, r->term, r->following, r->held, ck_now());
 }
 
 static void reached(struct ct_group *g, const char *inst)
--- a/promote/evidence.c
+++ b/promote/evidence.c
@@ -62,8 +62,8 @@
     r->reported_at = now;
 }
 
-void pr_said(struct pr_group *p, const char *inst, bool primary, uint64_t term,
-             uint64_t following, struct ps_pos held, int64_t now)
+void pr_set_status(struct pr_group *p, const char *inst, bool primary, uint64_t term,
+                   uint64_t following, struct ps_pos held, int64_t now)
 {
     struct pr_inst *in = pe_find_inst(p, inst);
     if (!in)
--- a/promote/promote.h
+++ b/promote/promote.h
@@ -110,8 +110,8 @@
 void pr_probed(struct pr_group *p, const char *inst, uint64_t vantage, const char *domain,
                enum pr_health health, int64_t now);
 /* Stores the status that an instance reported about itself. */
-void pr_said(struct pr_group *p, const char *inst, bool primary, uint64_t term,
-             uint64_t following, struct ps_pos held, int64_t now);
+void pr_set_status(struct pr_group *p, const char *inst, bool primary, uint64_t term,
+                   uint64_t following, struct ps_pos held, int64_t now);
 /* A check was sent to `n` entry nodes; each reply is passed to pr_checked. */
 void pr_checking(struct pr_group *p, int n);
 void pr_checked(struct pr_group *p, uint64_t nonce, enum pr_health health);
--- a/tests/unit/test_promote.c
+++ b/tests/unit/test_promote.c
@@ -229,7 +229,7 @@
     fresh(&cfg);
     to_fencing();
     tick(false, CK_MS(11002));
-    pr_said(&p, "b", false, 9, 0, (struct ps_pos){1, 10}, CK_MS(11003));
+    pr_set_status(&p, "b", false, 9, 0, (struct ps_pos){1, 10}, CK_MS(11003));
     tick(false, CK_MS(11003));
     int i = find(PR_DO_REPLACE);
     CU_ASSERT(i >= 0 && acts.a[i].term == 10);
@@ -247,11 +247,11 @@
     int i = find(PR_DO_FENCE);
     CU_ASSERT(i >= 0 && acts.a[i].inst == 0); /* the old primary first */
     pr_fenced(&p, "a", 2, (struct ps_pos){1, 50});
-    pr_said(&p, "b", false, 1, 1, (struct ps_pos){1, 49}, CK_MS(11011));
+    pr_set_status(&p, "b", false, 1, 1, (struct ps_pos){1, 49}, CK_MS(11011));
     tick(true, CK_MS(11012));
     CU_ASSERT_EQUAL(find(PR_DO_FENCE), -1);
     CU_ASSERT(find(PR_DO_PROBE) >= 0);
-    pr_said(&p, "b", false, 1, 1, (struct ps_pos){1, 50}, CK_MS(11013));
+    pr_set_status(&p, "b", false, 1, 1, (struct ps_pos){1, 50}, CK_MS(11013));
     tick(true, CK_MS(11113));
     i = find(PR_DO_FENCE);
     CU_ASSERT(i >= 0 && acts.a[i].inst == 1);
@@ -305,7 +305,7 @@
 static void lost_role_is_noticed(void)
 {
     fresh(&cfg);
-    pr_said(&p, "a", false, 1, 0, (struct ps_pos){1, 5}, CK_SEC(12));
+    pr_set_status(&p, "a", false, 1, 0, (struct ps_pos){1, 5}, CK_SEC(12));
     tick(true, CK_SEC(12));
     CU_ASSERT(find(PR_DO_REPLACE) >= 0);
 }
