--- a/bench/messages.c
+++ b/bench/messages.c
@@ -25,7 +25,7 @@
     switch (a->kind) {
     case PR_DO_CHECK:
         pr_checking(&w->p, 1);
-        pr_checked(&w->p, a->term, PR_REFUSED);
+        pr_check_reply(&w->p, a->term, PR_REFUSED);
         break;
     case PR_DO_REPLACE:
         w->g.phase = VW_REPLACING;
--- a/control/promotions.c
+++ b/control/promotions.c
@@ -117,7 +117,7 @@
 
 static void checked(struct ct_group *g, uint64_t nonce, enum pr_health health)
 {
-    pr_checked(&g->pr, nonce, health == PR_UNFIT ? PR_UP : health);
+    pr_check_reply(&g->pr, nonce, health == PR_UNFIT ? PR_UP : health);
 }
 
 static bool busy(const struct ct_group *g)
--- a/promote/evidence.c
+++ b/promote/evidence.c
@@ -80,7 +80,7 @@
     p->checks_pending = n;
 }
 
-void pr_checked(struct pr_group *p, uint64_t nonce, enum pr_health health)
+void pr_check_reply(struct pr_group *p, uint64_t nonce, enum pr_health health)
 {
     if (p->step != PR_CHECKING || nonce != p->nonce)
         return;
--- a/promote/promote.h
+++ b/promote/promote.h
@@ -81,7 +81,7 @@
 };
 
 enum pr_action_kind {
-    PR_DO_CHECK,   /* ask entry nodes about `inst`; reply with pr_checking, pr_checked */
+    PR_DO_CHECK,   /* ask entry nodes about `inst`; reply with pr_checking, pr_check_reply */
     PR_DO_REPLACE, /* propose VW_CH_REPLACE with `term` */
     PR_DO_ABANDON, /* propose VW_CH_ABANDON with `term` */
     PR_DO_FENCE,   /* tell `inst` to fence at `term` */
@@ -112,9 +112,9 @@
 /* Stores the status that an instance reported about itself. */
 void pr_set_status(struct pr_group *p, const char *inst, bool primary, uint64_t term,
                    uint64_t following, struct ps_pos held, int64_t now);
-/* A check was sent to `n` entry nodes; each reply is passed to pr_checked. */
+/* A check was sent to `n` entry nodes; each reply is passed to pr_check_reply. */
 void pr_checking(struct pr_group *p, int n);
-void pr_checked(struct pr_group *p, uint64_t nonce, enum pr_health health);
+void pr_check_reply(struct pr_group *p, uint64_t nonce, enum pr_health health);
 /* Replies of instances to fence and promote. */
 void pr_fenced(struct pr_group *p, const char *inst, uint64_t term, struct ps_pos held);
 void pr_promoted(struct pr_group *p, const char *inst, uint64_t term, struct ps_pos start);
--- a/tests/unit/test_promote.c
+++ b/tests/unit/test_promote.c
@@ -103,8 +103,8 @@
 {
     fresh(&cfg);
     begin_check();
-    pr_checked(&p, p.nonce, PR_UP);
-    pr_checked(&p, p.nonce, PR_SILENT);
+    pr_check_reply(&p, p.nonce, PR_UP);
+    pr_check_reply(&p, p.nonce, PR_SILENT);
     tick(true, CK_MS(11050));
     CU_ASSERT_EQUAL(find(PR_DO_REPLACE), -1);
     tick(true, CK_MS(11200));
@@ -118,7 +118,7 @@
     int asked = 0;
     fresh(&cfg);
     begin_check();
-    pr_checked(&p, p.nonce, PR_UP);
+    pr_check_reply(&p, p.nonce, PR_UP);
     int64_t first = 0;
     for (int64_t now = CK_SEC(11); now < CK_SEC(21); now += CK_MS(5)) {
         down(1, "d1", PR_SILENT, now);
@@ -130,7 +130,7 @@
         first = first ? first : now;
         asked++;
         pr_checking(&p, 1);
-        pr_checked(&p, p.nonce, PR_UP);
+        pr_check_reply(&p, p.nonce, PR_UP);
     }
     CU_ASSERT(first <= CK_MS(11030));
     CU_ASSERT(asked >= 8 && asked <= 20);
@@ -140,7 +140,7 @@
 {
     fresh(&cfg);
     begin_check();
-    pr_checked(&p, p.nonce, PR_SILENT);
+    pr_check_reply(&p, p.nonce, PR_SILENT);
     tick(true, CK_MS(11099));
     CU_ASSERT_EQUAL(find(PR_DO_REPLACE), -1);
     tick(true, CK_MS(11100));
@@ -151,8 +151,8 @@
 static void to_fencing(void)
 {
     begin_check();
-    pr_checked(&p, p.nonce, PR_SILENT);
-    pr_checked(&p, p.nonce, PR_REFUSED);
+    pr_check_reply(&p, p.nonce, PR_SILENT);
+    pr_check_reply(&p, p.nonce, PR_REFUSED);
     tick(true, CK_MS(11001));
     int i = find(PR_DO_REPLACE);
     CU_ASSERT(i >= 0 && acts.a[i].term == 2);
