--- a/bench/messages.c
+++ b/bench/messages.c
@@ -24,7 +24,7 @@
     w->counts[a->kind]++;
     switch (a->kind) {
     case PR_DO_CHECK:
-        pr_checking(&w->p, 1);
+        pr_checks_sent(&w->p, 1);
         pr_check_reply(&w->p, a->term, PR_REFUSED);
         break;
     case PR_DO_REPLACE:
--- a/control/promotions.c
+++ b/control/promotions.c
@@ -32,7 +32,7 @@
     struct ep_request q = {.term = a->term};
     switch (a->kind) {
     case PR_DO_CHECK:
-        pr_checking(&g->pr, ct_check_nodes(n, g->pr.nonce, in->id));
+        pr_checks_sent(&g->pr, ct_check_nodes(n, g->pr.nonce, in->id));
         break;
     case PR_DO_REPLACE:
         propose(n, g, VW_CH_REPLACE, a);
--- a/promote/evidence.c
+++ b/promote/evidence.c
@@ -75,7 +75,7 @@
     in->said_at = now;
 }
 
-void pr_checking(struct pr_group *p, int n)
+void pr_checks_sent(struct pr_group *p, int n)
 {
     p->checks_pending = n;
 }
--- a/promote/promote.h
+++ b/promote/promote.h
@@ -81,7 +81,7 @@
 };
 
 enum pr_action_kind {
-    PR_DO_CHECK,   /* ask entry nodes about `inst`; reply with pr_checking, pr_check_reply */
+    PR_DO_CHECK,   /* ask entry nodes about `inst`; reply with pr_checks_sent, pr_check_reply */
     PR_DO_REPLACE, /* propose VW_CH_REPLACE with `term` */
     PR_DO_ABANDON, /* propose VW_CH_ABANDON with `term` */
     PR_DO_FENCE,   /* tell `inst` to fence at `term` */
@@ -113,7 +113,7 @@
 void pr_set_status(struct pr_group *p, const char *inst, bool primary, uint64_t term,
                    uint64_t following, struct ps_pos held, int64_t now);
 /* A check was sent to `n` entry nodes; each reply is passed to pr_check_reply. */
-void pr_checking(struct pr_group *p, int n);
+void pr_checks_sent(struct pr_group *p, int n);
 void pr_check_reply(struct pr_group *p, uint64_t nonce, enum pr_health health);
 /* Replies of instances to fence and promote. */
 void pr_fenced(struct pr_group *p, const char *inst, uint64_t term, struct ps_pos held);
--- a/tests/unit/test_promote.c
+++ b/tests/unit/test_promote.c
@@ -77,7 +77,7 @@
     down(2, "d2", PR_SILENT, CK_SEC(11));
     tick(true, CK_SEC(11));
     CU_ASSERT(find(PR_DO_CHECK) >= 0);
-    pr_checking(&p, 2);
+    pr_checks_sent(&p, 2);
 }
 
 /* An instance that comes back in the middle of a change is fenced at once. */
@@ -129,7 +129,7 @@
             continue;
         first = first ? first : now;
         asked++;
-        pr_checking(&p, 1);
+        pr_checks_sent(&p, 1);
         pr_check_reply(&p, p.nonce, PR_UP);
     }
     CU_ASSERT(first <= CK_MS(11030));
