--- a/control/nodes.c
+++ b/control/nodes.c
@@ -59,7 +59,7 @@
 /* Whether the node is to learn the newest changes with the next batch. */
 static bool batch_waits(const struct ct_conn *c)
 {
-    return c->node->news.waits && c->sent_gen;
+    return c->node->news.pending && c->sent_gen;
 }
 
 /* Whether the newest view goes out to the node later, and it acts on the one before meanwhile.
@@ -120,7 +120,7 @@
 
 void ct_view_changed(struct ct_node *n, enum vw_change_kind kind)
 {
-    if (vp_changed(&n->news, can_wait(kind), n->n_conns, ck_now()))
+    if (vp_batch_add(&n->news, can_wait(kind), n->n_conns, ck_now()))
         ct_push_view(n);
 }
 
@@ -303,7 +303,7 @@
 
 void ct_nodes_tick(struct ct_node *n, int64_t now)
 {
-    if (n->leading && vp_news_due(&n->news, n->n_conns, now))
+    if (n->leading && vp_batch_due(&n->news, n->n_conns, now))
         ct_push_view(n);
     if (n->leading)
         push_tick(n, now);
--- a/tests/unit/test_push.c
+++ b/tests/unit/test_push.c
@@ -220,25 +220,25 @@
  * them waited to go out. */
 static int news_of(int instances, int nodes, int64_t within_us, int64_t *longest)
 {
-    struct vp_news w = {0};
+    struct vp_batch w = {0};
     int pushes = 0, came = 0;
     int64_t oldest = 0;
     *longest = 0;
     for (int64_t t = 0; t < within_us + CK_SEC(1); t += TICK_US) {
-        if (vp_news_due(&w, nodes, t)) {
+        if (vp_batch_due(&w, nodes, t)) {
             *longest = t - oldest > *longest ? t - oldest : *longest;
             pushes++;
         }
         while (came < instances && within_us * came / instances <= t) {
-            bool waited = w.waits;
-            if (vp_changed(&w, true, nodes, t))
+            bool waited = w.pending;
+            if (vp_batch_add(&w, true, nodes, t))
                 pushes++;
             else if (!waited)
                 oldest = t;
             came++;
         }
     }
-    CU_ASSERT_FALSE(w.waits);
+    CU_ASSERT_FALSE(w.pending);
     return pushes * nodes;
 }
 
@@ -262,13 +262,13 @@
 /* One that comes alone is told at once, and what can't wait takes along what did. */
 static void only_what_can_wait_waits(void)
 {
-    struct vp_news w = {0};
-    CU_ASSERT_TRUE(vp_changed(&w, true, NODES, CK_SEC(1)));
-    CU_ASSERT_FALSE(vp_changed(&w, true, NODES, CK_SEC(1) + 1));
-    CU_ASSERT_TRUE(vp_changed(&w, false, NODES, CK_SEC(1) + 2));
-    CU_ASSERT_FALSE(w.waits);
-    CU_ASSERT_FALSE(vp_news_due(&w, NODES, CK_SEC(9)));
-    CU_ASSERT_TRUE(vp_changed(&w, true, NODES, CK_SEC(10)));
+    struct vp_batch w = {0};
+    CU_ASSERT_TRUE(vp_batch_add(&w, true, NODES, CK_SEC(1)));
+    CU_ASSERT_FALSE(vp_batch_add(&w, true, NODES, CK_SEC(1) + 1));
+    CU_ASSERT_TRUE(vp_batch_add(&w, false, NODES, CK_SEC(1) + 2));
+    CU_ASSERT_FALSE(w.pending);
+    CU_ASSERT_FALSE(vp_batch_due(&w, NODES, CK_SEC(9)));
+    CU_ASSERT_TRUE(vp_batch_add(&w, true, NODES, CK_SEC(10)));
 }
 
 void push_suite(void)
--- a/view/push.c
+++ b/view/push.c
@@ -67,25 +67,25 @@
     p->credit_bytes -= bytes;
 }
 
-static void batch_sent(struct vp_news *w, int nodes, int64_t now)
+static void batch_sent(struct vp_batch *w, int nodes, int64_t now)
 {
-    w->waits = false;
+    w->pending = false;
     w->next_at = now + clamp((int64_t)nodes * BATCH_DELAY_PER_NODE_US, 0, MAX_BATCH_DELAY_US);
 }
 
-bool vp_changed(struct vp_news *w, bool can_wait, int nodes, int64_t now)
+bool vp_batch_add(struct vp_batch *w, bool can_wait, int nodes, int64_t now)
 {
     if (can_wait && now < w->next_at) {
-        w->waits = true;
+        w->pending = true;
         return false;
     }
     batch_sent(w, nodes, now);
     return true;
 }
 
-bool vp_news_due(struct vp_news *w, int nodes, int64_t now)
+bool vp_batch_due(struct vp_batch *w, int nodes, int64_t now)
 {
-    if (!w->waits || now < w->next_at)
+    if (!w->pending || now < w->next_at)
         return false;
     batch_sent(w, nodes, now);
     return true;
--- a/view/push.h
+++ b/view/push.h
@@ -38,15 +38,15 @@
  * Hundreds of instances may register at once. Each is a change that is sent to every node, and
  * every node acknowledges it and asks for connections. Zero-initialized: the first change is
  * sent at once. */
-struct vp_news {
+struct vp_batch {
     int64_t next_at; /* earliest time of the next batch */
-    bool waits;      /* changes are not sent yet */
+    bool pending;    /* changes are not sent yet */
 };
 
 /* A change of the view has to be sent to `nodes` nodes. Returns whether it is sent now,
- * together with the pending changes; if not, vp_news_due returns true when it is time. */
-bool vp_changed(struct vp_news *w, bool can_wait, int nodes, int64_t now);
+ * together with the pending changes; if not, vp_batch_due returns true when it is time. */
+bool vp_batch_add(struct vp_batch *w, bool can_wait, int nodes, int64_t now);
 /* Called regularly: whether the pending changes are sent now. */
-bool vp_news_due(struct vp_news *w, int nodes, int64_t now);
+bool vp_batch_due(struct vp_batch *w, int nodes, int64_t now);
 
 #endif
