--- a/bench/messages.c
+++ b/bench/messages.c
@@ -24,8 +24,8 @@
     w->counts[a->kind]++;
     switch (a->kind) {
     case PR_DO_CHECK:
-        pr_checking(&w->p, 1);
-        pr_checked(&w->p, a->term, PR_REFUSED);
+        pr_checks_sent(&w->p, 1);
+        pr_check_reply(&w->p, a->term, PR_REFUSED);
         break;
     case PR_DO_REPLACE:
         w->g.phase = VW_REPLACING;
@@ -57,8 +57,8 @@
             pr_probed(&w->p, id, (uint64_t)v + 1, (const char *[]){"a", "b", "c"}[v],
                       dead ? PR_REFUSED : PR_UP, w->now);
         if (!dead)
-            pr_said(&w->p, id, i == w->g.primary, w->g.term, w->g.term, (struct ps_pos){1, 100},
-                    w->now);
+            pr_set_status(&w->p, id, i == w->g.primary, w->g.term, w->g.term,
+                          (struct ps_pos){1, 100}, w->now);
     }
     pr_tick(&w->p, &w->g, true, w->now, &acts);
     for (int i = 0; i < acts.n; i++)
--- a/control/control.c
+++ b/control/control.c
@@ -59,7 +59,7 @@
     n->step_index = 0;
     n->measured_generation = 0;
     n->in_force_since = 0;
-    n->unsent_changes = (struct vp_news){0};
+    n->unsent_changes = (struct vp_batch){0};
     n->pace = (struct vp_pace){0};
     vp_tick(&n->pace, 0, 0, now);
     ls_grantor_begin(&n->leases, CK_MS(n->s->lease_ms), now, first);
--- a/control/control.h
+++ b/control/control.h
@@ -211,7 +211,7 @@
     unsigned ticks;
     int next_group;        /* group that the next tick begins with; -1: the first */
     int conn_changes_left; /* connections to instances that this tick may still open or close */
-    struct vp_news unsent_changes; /* changes of instances not sent to entry nodes yet */
+    struct vp_batch unsent_changes; /* changes of instances not sent to entry nodes yet */
     struct vp_pace pace;           /* of views sent to entry nodes; reset by a new leader */
     struct ct_cached_frame changes_frame, whole_frame; /* view messages sent last */
     struct ct_cached_frame nodes_changes, nodes_whole; /* node lists sent last */
--- a/control/nodes.c
+++ b/control/nodes.c
@@ -60,7 +60,7 @@
 /* Whether the newest changes are sent to the node with the next batch. */
 static bool batch_pending(const struct ct_conn *c)
 {
-    return c->node->unsent_changes.waits && c->sent_generation;
+    return c->node->unsent_changes.pending && c->sent_generation;
 }
 
 /* Whether the newest view is sent to the node later, while the node acts on an older one. */
@@ -124,7 +124,7 @@
 
 void ct_view_changed(struct ct_node *n, enum vw_change_kind kind)
 {
-    if (vp_changed(&n->unsent_changes, may_defer(kind), n->n_conns, ck_now()))
+    if (vp_batch_add(&n->unsent_changes, may_defer(kind), n->n_conns, ck_now()))
         ct_push_view(n);
 }
 
@@ -311,7 +311,7 @@
 
 void ct_nodes_tick(struct ct_node *n, int64_t now)
 {
-    if (n->leading && vp_news_due(&n->unsent_changes, n->n_conns, now))
+    if (n->leading && vp_batch_due(&n->unsent_changes, n->n_conns, now))
         ct_push_view(n);
     if (n->leading)
         push_deferred_views(n, now);
--- a/control/promotions.c
+++ b/control/promotions.c
@@ -33,7 +33,7 @@
     struct ep_request q = {.term = a->term};
     switch (a->kind) {
     case PR_DO_CHECK:
-        pr_checking(&g->pr, ct_request_checks(n, g->pr.nonce, in->id));
+        pr_checks_sent(&g->pr, ct_request_checks(n, g->pr.nonce, in->id));
         break;
     case PR_DO_REPLACE:
         propose(n, g, VW_CH_REPLACE, a);
@@ -108,7 +108,7 @@
 
 static void replied(struct ct_group *g, const char *inst, const struct ep_reply *r)
 {
-    pr_said(&g->pr, inst, r->primary, r->term, r->following, r->held, ck_now());
+    pr_set_status(&g->pr, inst, r->primary, r->term, r->following, r->held, ck_now());
 }
 
 static void connected(struct ct_group *g, const char *inst)
@@ -118,7 +118,7 @@
 
 static void checked(struct ct_group *g, uint64_t nonce, enum pr_health health)
 {
-    pr_checked(&g->pr, nonce, health == PR_UNFIT ? PR_UP : health);
+    pr_check_reply(&g->pr, nonce, health == PR_UNFIT ? PR_UP : health);
 }
 
 static bool busy(const struct ct_group *g)
--- a/tests/unit/test_promote.c
+++ b/tests/unit/test_promote.c
@@ -77,7 +77,7 @@
     down(2, "d2", PR_SILENT, CK_SEC(11));
     tick(true, CK_SEC(11));
     CU_ASSERT(find(PR_DO_CHECK) >= 0);
-    pr_checking(&p, 2);
+    pr_checks_sent(&p, 2);
 }
 
 /* An instance that comes back in the middle of a change is fenced at once. */
@@ -103,8 +103,8 @@
 {
     fresh(&cfg);
     begin_check();
-    pr_checked(&p, p.nonce, PR_UP);
-    pr_checked(&p, p.nonce, PR_SILENT);
+    pr_check_reply(&p, p.nonce, PR_UP);
+    pr_check_reply(&p, p.nonce, PR_SILENT);
     tick(true, CK_MS(11050));
     CU_ASSERT_EQUAL(find(PR_DO_REPLACE), -1);
     tick(true, CK_MS(11200));
@@ -118,7 +118,7 @@
     int asked = 0;
     fresh(&cfg);
     begin_check();
-    pr_checked(&p, p.nonce, PR_UP);
+    pr_check_reply(&p, p.nonce, PR_UP);
     int64_t first = 0;
     for (int64_t now = CK_SEC(11); now < CK_SEC(21); now += CK_MS(5)) {
         down(1, "d1", PR_SILENT, now);
@@ -129,8 +129,8 @@
             continue;
         first = first ? first : now;
         asked++;
-        pr_checking(&p, 1);
-        pr_checked(&p, p.nonce, PR_UP);
+        pr_checks_sent(&p, 1);
+        pr_check_reply(&p, p.nonce, PR_UP);
     }
     CU_ASSERT(first <= CK_MS(11030));
     CU_ASSERT(asked >= 8 && asked <= 20);
@@ -140,7 +140,7 @@
 {
     fresh(&cfg);
     begin_check();
-    pr_checked(&p, p.nonce, PR_SILENT);
+    pr_check_reply(&p, p.nonce, PR_SILENT);
     tick(true, CK_MS(11099));
     CU_ASSERT_EQUAL(find(PR_DO_REPLACE), -1);
     tick(true, CK_MS(11100));
@@ -151,8 +151,8 @@
 static void to_fencing(void)
 {
     begin_check();
-    pr_checked(&p, p.nonce, PR_SILENT);
-    pr_checked(&p, p.nonce, PR_REFUSED);
+    pr_check_reply(&p, p.nonce, PR_SILENT);
+    pr_check_reply(&p, p.nonce, PR_REFUSED);
     tick(true, CK_MS(11001));
     int i = find(PR_DO_REPLACE);
     CU_ASSERT(i >= 0 && acts.a[i].term == 2);
@@ -229,7 +229,7 @@
     fresh(&cfg);
     to_fencing();
     tick(false, CK_MS(11002));
-    pr_said(&p, "b", false, 9, 0, (struct ps_pos){1, 10}, CK_MS(11003));
+    pr_set_status(&p, "b", false, 9, 0, (struct ps_pos){1, 10}, CK_MS(11003));
     tick(false, CK_MS(11003));
     int i = find(PR_DO_REPLACE);
     CU_ASSERT(i >= 0 && acts.a[i].term == 10);
@@ -247,11 +247,11 @@
     int i = find(PR_DO_FENCE);
     CU_ASSERT(i >= 0 && acts.a[i].inst == 0); /* the old primary first */
     pr_fenced(&p, "a", 2, (struct ps_pos){1, 50});
-    pr_said(&p, "b", false, 1, 1, (struct ps_pos){1, 49}, CK_MS(11011));
+    pr_set_status(&p, "b", false, 1, 1, (struct ps_pos){1, 49}, CK_MS(11011));
     tick(true, CK_MS(11012));
     CU_ASSERT_EQUAL(find(PR_DO_FENCE), -1);
     CU_ASSERT(find(PR_DO_PROBE) >= 0);
-    pr_said(&p, "b", false, 1, 1, (struct ps_pos){1, 50}, CK_MS(11013));
+    pr_set_status(&p, "b", false, 1, 1, (struct ps_pos){1, 50}, CK_MS(11013));
     tick(true, CK_MS(11113));
     i = find(PR_DO_FENCE);
     CU_ASSERT(i >= 0 && acts.a[i].inst == 1);
@@ -305,7 +305,7 @@
 static void lost_role_is_noticed(void)
 {
     fresh(&cfg);
-    pr_said(&p, "a", false, 1, 0, (struct ps_pos){1, 5}, CK_SEC(12));
+    pr_set_status(&p, "a", false, 1, 0, (struct ps_pos){1, 5}, CK_SEC(12));
     tick(true, CK_SEC(12));
     CU_ASSERT(find(PR_DO_REPLACE) >= 0);
 }
