--- /dev/null
+++ b/proxy/handover.c
@@ -0,0 +1,30 @@
+#include "proxy/handover.h"
+
+enum {
+    /* It has to last so long. Origin: replicas are tens of milliseconds behind in calm times,
+     * and callers that a full primary refuses lose more in a second than by the change of
+     * primary, 0.4 to 0.8 s (docs/design/platform.md). */
+    CONDITION_MIN_US = 500000,
+    REFUSAL_RECENT_US = 700000, /* callers are refused now: the last refusal is no older */
+    /* A primary leads at least so long: what made the last one hand over may not have been its
+     * replicas. */
+    MIN_TERM_US = 8000000,
+};
+
+bool px_primary_serves_alone(const struct px_handover_view *v)
+{
+    return v->replicas > 0 && v->behind == v->replicas;
+}
+
+bool px_handover_due(struct px_handover *r, const struct px_handover_view *v, int64_t now)
+{
+    bool refusing = v->wait_failed_at && now - v->wait_failed_at < REFUSAL_RECENT_US;
+    if (!px_primary_serves_alone(v) || !refusing) {
+        r->condition_since = 0;
+        return false;
+    }
+    if (!r->condition_since)
+        r->condition_since = now;
+    return now - r->condition_since >= CONDITION_MIN_US &&
+           now - v->term_began_at >= MIN_TERM_US;
+}
--- a/proxy/pool.c
+++ b/proxy/pool.c
@@ -379,9 +379,10 @@
            heard - in->read_served_at > BEHIND_RECENT_US;
 }
 
-static struct px_relief_view relief_view(const struct px_group *g)
+static struct px_handover_view handover_view(const struct px_group *g)
 {
-    struct px_relief_view v = {.refused_at = g->wait_failed_at, .term_since = g->term_began_at};
+    struct px_handover_view v = {.wait_failed_at = g->wait_failed_at,
+                                 .term_began_at = g->term_began_at};
     for (int i = 0; i < g->cfg.n; i++) {
         if (i == g->cfg.primary || g->cfg.inst[i].draining)
             continue;
@@ -394,14 +395,14 @@
 /* The group's primary serves alone, and callers are refused for it. */
 static bool needs_handover(struct px_inst *in)
 {
-    struct px_relief_view v = relief_view(in->group);
-    return px_relief_due(&in->group->relief, &v, px_heard(in->p));
+    struct px_handover_view v = handover_view(in->group);
+    return px_handover_due(&in->group->handover, &v, px_heard(in->p));
 }
 
 static bool is_sole_server(const struct px_inst *in)
 {
-    struct px_relief_view v = relief_view(in->group);
-    return in->index == in->group->cfg.primary && px_relief_alone(&v);
+    struct px_handover_view v = handover_view(in->group);
+    return in->index == in->group->cfg.primary && px_primary_serves_alone(&v);
 }
 
 enum wr_health px_health(const struct px_proxy *p, struct sr_str id)
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -14,7 +14,7 @@
 #include "proxy/outlier.h"
 #include "proxy/pace.h"
 #include "proxy/place.h"
-#include "proxy/relief.h"
+#include "proxy/handover.h"
 #include "proxy/proxy.h"
 #include "proxy/question.h"
 #include "proxy/stages.h"
@@ -133,7 +133,7 @@
     /* Where the document's accounts are among the holders, by their number there; NULL until it
      * is asked for. */
     struct sp_place *placements;
-    struct px_relief relief;
+    struct px_handover handover;
     int64_t wait_failed_at;  /* a statement waited for its primary in vain */
     int64_t term_began_at;   /* this node acts on its term */
     int64_t settle_deadline; /* planned change: what runs at the primary may end until then */
--- a/tests/unit/test_proxy.c
+++ b/tests/unit/test_proxy.c
@@ -5,7 +5,7 @@
 #include "misc/clock.h"
 #include "proxy/outlier.h"
 #include "proxy/place.h"
-#include "proxy/relief.h"
+#include "proxy/handover.h"
 #include "proxy/state.h"
 #include "proxy/window.h"
 #include "tests/unit/unit.h"
@@ -125,25 +125,25 @@
 
 static void a_lone_primary_is_relieved(void)
 {
-    struct px_relief r = {0};
+    struct px_handover r = {0};
     int64_t now = CK_SEC(100);
-    struct px_relief_view v = {.replicas = 2, .behind = 2, .term_since = CK_SEC(1)};
-    CU_ASSERT_FALSE(px_relief_due(&r, &v, now)); /* nobody is refused */
+    struct px_handover_view v = {.replicas = 2, .behind = 2, .term_began_at = CK_SEC(1)};
+    CU_ASSERT_FALSE(px_handover_due(&r, &v, now)); /* nobody is refused */
     for (int i = 0; i < 5; i++) {
-        v.refused_at = now += 100000;
-        CU_ASSERT_FALSE(px_relief_due(&r, &v, now)); /* not long enough */
+        v.wait_failed_at = now += 100000;
+        CU_ASSERT_FALSE(px_handover_due(&r, &v, now)); /* not long enough */
     }
-    v.refused_at = now += 100000;
-    CU_ASSERT_TRUE(px_relief_due(&r, &v, now));
-    v.term_since = now - CK_SEC(3);
-    CU_ASSERT_FALSE(px_relief_due(&r, &v, now)); /* it leads for a short time only */
-    v.term_since = CK_SEC(1);
+    v.wait_failed_at = now += 100000;
+    CU_ASSERT_TRUE(px_handover_due(&r, &v, now));
+    v.term_began_at = now - CK_SEC(3);
+    CU_ASSERT_FALSE(px_handover_due(&r, &v, now)); /* it leads for a short time only */
+    v.term_began_at = CK_SEC(1);
     v.behind = 1;
-    CU_ASSERT_FALSE(px_relief_due(&r, &v, now)); /* one replica serves */
+    CU_ASSERT_FALSE(px_handover_due(&r, &v, now)); /* one replica serves */
     v.behind = 2;
-    CU_ASSERT_FALSE(px_relief_due(&r, &v, now)); /* and it begins anew */
+    CU_ASSERT_FALSE(px_handover_due(&r, &v, now)); /* and it begins anew */
     v.replicas = v.behind = 0;
-    CU_ASSERT_FALSE(px_relief_due(&r, &v, now + CK_SEC(9))); /* nobody could take over */
+    CU_ASSERT_FALSE(px_handover_due(&r, &v, now + CK_SEC(9))); /* nobody could take over */
 }
 
 /* Load: both replicas of a group are far behind, its primary alone serves what 16 nodes bring
@@ -153,7 +153,7 @@
 static void nodes_that_share_the_refusals_agree(void)
 {
     enum { NODES_HERE = 16, REFUSED_A_SECOND = 20, ROUNDS_A_SECOND = 10, WITHIN_ROUNDS = 20 };
-    struct px_relief r[NODES_HERE] = {{0}};
+    struct px_handover r[NODES_HERE] = {{0}};
     int64_t refused_at[NODES_HERE] = {0}, now = CK_SEC(100);
     struct rn_rng rng = rn_seed(5);
     int agreed = 0;
@@ -163,16 +163,17 @@
         for (int k = 0; k < REFUSED_A_SECOND / ROUNDS_A_SECOND; k++)
             refused_at[rn_below(&rng, NODES_HERE)] = now;
         for (int i = 0; i < NODES_HERE; i++) {
-            struct px_relief_view v = {2, 2, refused_at[i], CK_SEC(1)};
-            bool due = px_relief_due(&r[i], &v, now);
+            struct px_handover_view v = {2, 2, refused_at[i], CK_SEC(1)};
+            bool due = px_handover_due(&r[i], &v, now);
             unfit += due;
-            up += !due && !px_relief_alone(&v);
+            up += !due && !px_primary_serves_alone(&v);
         }
         agreed = unfit > up ? round : 0;
     }
     CU_ASSERT(agreed > 0);
-    struct px_relief_view one_serves = {2, 1, now, CK_SEC(1)};
-    CU_ASSERT_FALSE(px_relief_alone(&one_serves)); /* that node says that the primary is well */
+    struct px_handover_view one_serves = {2, 1, now, CK_SEC(1)};
+    CU_ASSERT_FALSE(
+        px_primary_serves_alone(&one_serves)); /* that node says that the primary is well */
 }
 
 /* ---- a session's state ---- */
