--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -13,7 +13,7 @@
 #include "proxy/neighbor.h"
 #include "proxy/outlier.h"
 #include "proxy/pace.h"
-#include "proxy/place.h"
+#include "proxy/read_choice.h"
 #include "proxy/handover.h"
 #include "proxy/proxy.h"
 #include "proxy/question.h"
--- a/proxy/work.c
+++ b/proxy/work.c
@@ -91,13 +91,13 @@
     return (struct px_candidate){
         .usable = px_inst_usable(in, now) && !(s->skip & (1u << in->index)),
         .primary = in->index == g->cfg.primary,
-        .free_conn = idle || (!accounts && px_inst_has_room(in, now)),
+        .has_conn = idle || (!accounts && px_inst_has_room(in, now)),
         /* A transaction that rests between two statements holds a connection, but no slot. */
-        .waiting = px_inst_running(in) + in->n_waiters,
+        .outstanding = px_inst_running(in) + in->n_waiters,
         .service_us = px_pace_expect(&g->pace, s->kind, in->pace),
         .fail_rate = px_outlier_rate(&in->outlier, now),
         .distance = rt_distance(s->p->cfg.domain, in->cfg.domain),
-        .known = in->known_pos,
+        .known_pos = in->known_pos,
         .behind_until = in->behind_until,
     };
 }
@@ -115,7 +115,7 @@
     s->floor = floor;
     for (int i = 0; i < g->cfg.n; i++)
         c[i] = candidate(s, g->inst[i], now);
-    int i = px_place(c, g->cfg.n, true, floor, now, &s->p->rng);
+    int i = px_choose_instance(c, g->cfg.n, true, floor, now, &s->p->rng);
     for (int k = 0; i < 0 && k < g->cfg.n; k++)
         px_inst_request_share(g->inst[k], now);
     return i < 0 ? NULL : g->inst[i];
--- a/tests/unit/test_proxy.c
+++ b/tests/unit/test_proxy.c
@@ -4,7 +4,7 @@
 
 #include "misc/clock.h"
 #include "proxy/outlier.h"
-#include "proxy/place.h"
+#include "proxy/read_choice.h"
 #include "proxy/handover.h"
 #include "proxy/state.h"
 #include "proxy/window.h"
@@ -16,8 +16,8 @@
 {
     return (struct px_candidate){.usable = true,
                                  .primary = primary,
-                                 .free_conn = true,
-                                 .waiting = waiting,
+                                 .has_conn = true,
+                                 .outstanding = waiting,
                                  .service_us = 20000};
 }
 
@@ -26,11 +26,12 @@
     struct rn_rng rng = rn_seed(1);
     struct ps_pos none = {0};
     struct px_candidate c[3] = {at(true, 0), at(false, 0), at(false, 3)};
-    CU_ASSERT_EQUAL(px_place(c, 3, false, none, 0, &rng), 1);
-    c[1].waiting = 8;
-    CU_ASSERT_EQUAL(px_place(c, 3, false, none, 0, &rng), 0); /* the primary serves reads too */
+    CU_ASSERT_EQUAL(px_choose_instance(c, 3, false, none, 0, &rng), 1);
+    c[1].outstanding = 8;
+    CU_ASSERT_EQUAL(px_choose_instance(c, 3, false, none, 0, &rng),
+                    0); /* the primary serves reads too */
     c[0].usable = c[1].usable = c[2].usable = false;
-    CU_ASSERT_EQUAL(px_place(c, 3, false, none, 0, &rng), -1);
+    CU_ASSERT_EQUAL(px_choose_instance(c, 3, false, none, 0, &rng), -1);
 }
 
 /* The near one is asked while it is about as fast, whatever statements take; not where it is
@@ -45,14 +46,14 @@
         c[0].service_us = c[1].service_us = takes[i];
         c[1].distance = 1;
         for (int k = 0; k < 50; k++)
-            CU_ASSERT_EQUAL(px_place(c, 2, false, none, 0, &rng), 0);
+            CU_ASSERT_EQUAL(px_choose_instance(c, 2, false, none, 0, &rng), 0);
         c[0].fail_rate = 0.5;
         for (int k = 0; k < 50; k++)
-            CU_ASSERT_EQUAL(px_place(c, 2, false, none, 0, &rng), 1);
+            CU_ASSERT_EQUAL(px_choose_instance(c, 2, false, none, 0, &rng), 1);
         c[0].fail_rate = 0;
-        c[0].waiting = takes[i] < 800 ? 12 : 4; /* a trip takes time, too */
+        c[0].outstanding = takes[i] < 800 ? 12 : 4; /* a trip takes time, too */
         for (int k = 0; k < 50; k++)
-            CU_ASSERT_EQUAL(px_place(c, 2, false, none, 0, &rng), 1);
+            CU_ASSERT_EQUAL(px_choose_instance(c, 2, false, none, 0, &rng), 1);
     }
 }
 
@@ -63,18 +64,18 @@
     struct rn_rng rng = rn_seed(1);
     struct ps_pos floor = {3, 100};
     struct px_candidate c[2] = {at(true, 5), at(false, 0)};
-    c[1].known = (struct ps_pos){3, 99};
+    c[1].known_pos = (struct ps_pos){3, 99};
     c[1].behind_until = 1000;
-    CU_ASSERT_EQUAL(px_place(c, 2, true, floor, 999, &rng), 0);
-    CU_ASSERT_EQUAL(px_place(c, 2, true, floor, 1000, &rng), 1);
-    c[1].known.pos = 100;
-    CU_ASSERT_EQUAL(px_place(c, 2, true, floor, 999, &rng), 1);
-    c[1].known.pos = 99;
+    CU_ASSERT_EQUAL(px_choose_instance(c, 2, true, floor, 999, &rng), 0);
+    CU_ASSERT_EQUAL(px_choose_instance(c, 2, true, floor, 1000, &rng), 1);
+    c[1].known_pos.pos = 100;
+    CU_ASSERT_EQUAL(px_choose_instance(c, 2, true, floor, 999, &rng), 1);
+    c[1].known_pos.pos = 99;
     floor.pos = 99;
-    CU_ASSERT_EQUAL(px_place(c, 2, true, floor, 999, &rng), 1);
+    CU_ASSERT_EQUAL(px_choose_instance(c, 2, true, floor, 999, &rng), 1);
     floor.pos = 100;
     c[0].usable = false; /* nobody else: it waits rather than asks in vain */
-    CU_ASSERT_EQUAL(px_place(c, 2, true, floor, 999, &rng), -1);
+    CU_ASSERT_EQUAL(px_choose_instance(c, 2, true, floor, 999, &rng), -1);
 }
 
 /* ---- instances that fail ---- */
@@ -113,12 +114,12 @@
     struct ps_pos none = {0};
     struct px_candidate c[3] = {at(true, 9), at(false, 0), at(false, 2)};
     c[1].fail_rate = 0.5;
-    CU_ASSERT_EQUAL(px_place(c, 3, false, none, 0, &rng), 2);
-    c[2].waiting = 9; /* so full that a failure costs less */
-    CU_ASSERT_EQUAL(px_place(c, 3, false, none, 0, &rng), 1);
+    CU_ASSERT_EQUAL(px_choose_instance(c, 3, false, none, 0, &rng), 2);
+    c[2].outstanding = 9; /* so full that a failure costs less */
+    CU_ASSERT_EQUAL(px_choose_instance(c, 3, false, none, 0, &rng), 1);
     c[0].usable = c[1].usable = false;
     c[2].fail_rate = 1; /* nobody else */
-    CU_ASSERT_EQUAL(px_place(c, 3, false, none, 0, &rng), 2);
+    CU_ASSERT_EQUAL(px_choose_instance(c, 3, false, none, 0, &rng), 2);
 }
 
 /* ---- a primary that serves alone ---- */
