--- a/proxy/conn.c
+++ b/proxy/conn.c
@@ -200,7 +200,8 @@
     else if (c->error == ER_NONE)
         px_window_done(&c->inst->window, us, px_inst_running(c->inst) - 1, ck_now());
     if (c->error == ER_NONE && c->session->stmt.verb != PX_V_COMMIT)
-        px_pace_note(&c->inst->group->pace, c->session->kind, &c->inst->pace, us);
+        px_service_time_record(&c->inst->group->service_times, c->session->kind,
+                               &c->inst->service_factor, us);
 }
 
 /* Of the answers, only those to reads tell of the instance: a write may fail by what it writes.
--- a/proxy/pool.c
+++ b/proxy/pool.c
@@ -30,7 +30,7 @@
     in->group = g;
     in->cfg = *cfg;
     in->service_us = FIRST_SERVICE_US;
-    in->pace = 1;
+    in->service_factor = 1;
     px_window_init(&in->window);
     sr_copy(in->last_account, sizeof(in->last_account), sr_from(g->p->cfg.name));
     return in;
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -12,7 +12,7 @@
 #include "proxy/saturation.h"
 #include "proxy/neighbor.h"
 #include "proxy/outlier.h"
-#include "proxy/pace.h"
+#include "proxy/service_time.h"
 #include "proxy/read_choice.h"
 #include "proxy/handover.h"
 #include "proxy/proxy.h"
@@ -111,7 +111,7 @@
     bool wants_handover;     /* the primary, and should hand over */
     int64_t outlier_since;   /* it fails much and others of its group do not; 0: not so */
     int64_t service_us;      /* smoothed time of a statement */
-    double pace;             /* times what its statements take elsewhere; px_pace */
+    double service_factor;   /* times what its statements take elsewhere; px_pace */
     struct ps_pos known_pos; /* its log held this when it was heard last */
     int64_t behind_until;    /* it lacked a position; not asked for one like it before */
     int64_t read_served_at;  /* it served a read */
@@ -122,7 +122,7 @@
     struct px_proxy *p;
     struct vw_group cfg;
     struct px_inst *inst[VW_MAX_INSTANCES]; /* indexed like cfg.inst */
-    struct px_pace pace;
+    struct px_service_times service_times;
     struct rt_group rt; /* samples of the primary's position; the rest is not used */
     bool held; /* this node has connections to its instances; else sessions go to a holder */
     bool connects_first; /* this node is among `holders` */
--- a/proxy/pace.h
+++ b/proxy/service_time.h
@@ -4,8 +4,8 @@
  * the replicas: a mean time of all that an instance served says which statements it had as much
  * as how loaded it is. So each answer is compared with what answers to statements like it take
  * anywhere, and an instance is described by that factor: 1 is as fast as the others. */
-#ifndef FL_PROXY_PACE_H
-#define FL_PROXY_PACE_H
+#ifndef FL_PROXY_SERVICE_TIME_H
+#define FL_PROXY_SERVICE_TIME_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -13,18 +13,19 @@
 #include "misc/str.h"
 
 /* Kinds of statements told apart; two may share a place, which makes both less exact. */
-enum { PX_PACE_KINDS = 128 };
+enum { PX_STATEMENT_KINDS = 128 };
 
 /* What statements take, by kind. Zero-initialised is empty. */
-struct px_pace {
-    double usual_us[PX_PACE_KINDS]; /* 0: none was seen */
+struct px_service_times {
+    double typical_us[PX_STATEMENT_KINDS]; /* 0: none was seen */
 };
 
 /* A kind: the statements of a database that write, or that do not. */
-unsigned px_pace_kind(struct sr_str database, bool writes);
+unsigned px_statement_kind(struct sr_str database, bool writes);
 /* An answer came after `us` from the instance whose factor this is (at first 1). */
-void px_pace_note(struct px_pace *p, unsigned kind, double *factor, int64_t us);
+void px_service_time_record(struct px_service_times *p, unsigned kind, double *factor,
+                            int64_t us);
 /* What a statement of the kind takes at an instance with that factor, in microseconds. */
-int64_t px_pace_expect(const struct px_pace *p, unsigned kind, double factor);
+int64_t px_service_time_expect(const struct px_service_times *p, unsigned kind, double factor);
 
 #endif
--- a/proxy/work.c
+++ b/proxy/work.c
@@ -36,7 +36,7 @@
     s->deadline = s->arrived + s->route.limit_us;
     s->attempts = s->offers = 0;
     s->skip = 0;
-    s->kind = px_pace_kind(sr_from(s->database), s->writes);
+    s->kind = px_statement_kind(sr_from(s->database), s->writes);
     s->prev_active = NULL;
     s->next_active = p->active;
     if (p->active)
@@ -94,7 +94,7 @@
         .has_conn = idle || (!accounts && px_inst_has_room(in, now)),
         /* A transaction that rests between two statements holds a connection, but no slot. */
         .outstanding = px_inst_running(in) + in->n_waiters,
-        .service_us = px_pace_expect(&g->pace, s->kind, in->pace),
+        .service_us = px_service_time_expect(&g->service_times, s->kind, in->service_factor),
         .fail_rate = px_outlier_rate(&in->outlier, now),
         .distance = rt_distance(s->p->cfg.domain, in->cfg.domain),
         .known_pos = in->known_pos,
