--- a/proxy/conn.c
+++ b/proxy/conn.c
@@ -196,9 +196,9 @@
     int64_t us = ck_now() - c->sent_at;
     c->inst->service_us += (us - c->inst->service_us) / WEIGHT;
     if (c->error == ER_BUSY)
-        px_window_full(&c->inst->window, ck_now());
+        px_window_queue_full(&c->inst->window, ck_now());
     else if (c->error == ER_NONE)
-        px_window_done(&c->inst->window, us, px_inst_running(c->inst) - 1, ck_now());
+        px_window_answered(&c->inst->window, us, px_inst_running(c->inst) - 1, ck_now());
     if (c->error == ER_NONE && c->session->stmt.verb != PX_V_COMMIT)
         px_service_time_record(&c->inst->group->service_times, c->session->kind,
                                &c->inst->service_factor, us);
@@ -213,7 +213,7 @@
     if (read && c->error == ER_NONE)
         c->inst->read_served_at = ck_now();
     if (read && (failed || c->error == ER_NONE))
-        px_outlier_note(&c->inst->outlier, !failed, ck_now());
+        px_outlier_record(&c->inst->outlier, !failed, ck_now());
 }
 
 static int count_open(const struct px_inst *in)
@@ -278,7 +278,7 @@
 static void handle_answer(struct px_conn *c)
 {
     if (is_incomplete(c)) {
-        px_outlier_note(&c->inst->outlier, false, ck_now());
+        px_outlier_record(&c->inst->outlier, false, ck_now());
         FL_EVENT(&c->inst->p->log, LG_INFO, "answer_broke_off", "instance=%s group=%s",
                  c->inst->cfg.id, c->inst->group->cfg.name);
         px_conn_close(c); /* its end is that of a lost answer */
@@ -444,7 +444,7 @@
     c->net = NULL;
     unlink_conn(c);
     if (!c->closing && c->phase == PX_C_RUNNING)
-        px_outlier_note(&in->outlier, false, ck_now());
+        px_outlier_record(&in->outlier, false, ck_now());
     if (!c->closing)
         handle_instance_close(c, refused);
     if (s) {
@@ -486,7 +486,7 @@
         px_conn_close(c);
     } else if ((c->phase == PX_C_ORPHANED || c->phase == PX_C_ROLLING_BACK) &&
                silent_us > ORPHAN_TIMEOUT_US) {
-        px_outlier_note(&c->inst->outlier, false, now);
+        px_outlier_record(&c->inst->outlier, false, now);
         px_conn_close(c);
     }
 }
--- a/proxy/neighbor.h
+++ b/proxy/neighbor.h
@@ -26,33 +26,33 @@
 
 struct nb_neighbor {
     enum nb_state state;
-    int64_t heard_at;    /* last sign of life */
-    int64_t refuses_til; /* it said no to a session: others are asked first until then */
-    bool trying;         /* a trial is out since tried_at */
-    int64_t tried_at, next_trial;
-    int64_t pause_us;  /* between two trials while it is silent */
-    int64_t silent_at; /* it is silent since then */
-    int64_t back_at;   /* it was silent until then; 0: never */
+    int64_t last_received; /* last sign of life */
+    int64_t refuses_until; /* it said no to a session: others are asked first until then */
+    bool trial_pending;    /* a trial is out since tried_at */
+    int64_t trial_began_at, next_trial_at;
+    int64_t trial_pause_us; /* between two trials while it is silent */
+    int64_t silent_since;   /* it is silent since then */
+    int64_t recovered_at;   /* it was silent until then; 0: never */
 };
 
 /* It said something on a relayed session. */
-void nb_heard(struct nb_neighbor *n, int64_t now);
+void nb_received(struct nb_neighbor *n, int64_t now);
 /* Something that was sent to it then has no answer in what had come by `heard`. */
-void nb_waits(struct nb_neighbor *n, int64_t since, int64_t heard);
+void nb_unanswered(struct nb_neighbor *n, int64_t since, int64_t heard);
 /* A greeting did not come, or a connection was reset or refused. */
 void nb_doubt(struct nb_neighbor *n, int64_t now);
 /* It is there, and opens no session for so long. */
-void nb_refused(struct nb_neighbor *n, int64_t for_us, int64_t now);
+void nb_session_refused(struct nb_neighbor *n, int64_t for_us, int64_t now);
 
 /* Whether a trial is to be begun; call nb_tried when it is, and when its connection is open:
  * what this node took until it asked is not the other's silence. */
 bool nb_trial_due(const struct nb_neighbor *n, int64_t now);
-void nb_tried(struct nb_neighbor *n, int64_t now);
+void nb_trial_began(struct nb_neighbor *n, int64_t now);
 /* Whether the trial that is out has been waited for long enough; what had come by `heard` was
  * taken in. */
 bool nb_trial_late(const struct nb_neighbor *n, int64_t heard);
 /* What came of it; a no is an answer. */
-void nb_trial_over(struct nb_neighbor *n, bool answered, int64_t now);
+void nb_trial_ended(struct nb_neighbor *n, bool answered, int64_t now);
 
 enum nb_rank nb_rank(const struct nb_neighbor *n, int64_t now);
 
--- a/proxy/neighbors.c
+++ b/proxy/neighbors.c
@@ -88,7 +88,7 @@
 static void end_trial(struct px_neighbor *nb, bool answered)
 {
     enum nb_state before = nb->status.state;
-    nb_trial_over(&nb->status, answered, ck_now());
+    nb_trial_ended(&nb->status, answered, ck_now());
     if (before == NB_DOUBTED && !answered)
         doubt_others(nb->p);
     if (nb->status.state == before || (before == NB_DOUBTED && answered))
@@ -100,7 +100,7 @@
 static void on_open(struct nt_conn *net, void *ud)
 {
     struct px_neighbor *nb = ud;
-    nb_tried(&nb->status, ck_now());
+    nb_trial_began(&nb->status, ck_now());
     px_relay_hello(nb->p, net, nb->database, nb->key, PX_HELLO_TRIAL);
 }
 
@@ -130,7 +130,7 @@
 static void start_trial(struct px_neighbor *nb, int64_t now)
 {
     struct px_proxy *p = nb->p;
-    nb_tried(&nb->status, now);
+    nb_trial_began(&nb->status, now);
     p->c.trials++;
     nb->trial_conn = nt_connect_stream(p->loop, nb->ip, nb->port, &trial_ops, nb);
     px_meter(p, nb->trial_conn, PX_PEER_NODE, nb->domain);
--- a/proxy/relay.c
+++ b/proxy/relay.c
@@ -281,7 +281,7 @@
 {
     struct px_relay *r = ud;
     struct sr_str last;
-    nb_heard(&r->nb->status, ck_now());
+    nb_received(&r->nb->status, ck_now());
     if (r->left)
         return; /* what it answers now the caller was told of already */
     sr_buf_add(&r->in, data, len);
@@ -313,11 +313,11 @@
 {
     int64_t now = ck_now();
     if (r->by_other)
-        nb_refused(&r->nb->status, NO_WAY_US, now);
+        nb_session_refused(&r->nb->status, NO_WAY_US, now);
     else if (!opened || r->late)
         nb_doubt(&r->nb->status, now);
     else
-        nb_refused(&r->nb->status, REFUSED_US, now);
+        nb_session_refused(&r->nb->status, REFUSED_US, now);
 }
 
 /* The connection is gone, and the session there with it. */
@@ -486,7 +486,7 @@
     if (r->asked) {
         if (px_question_harmless(&r->q) || px_heard(s->p) - r->asked_at > longest_wait(s))
             tell_unanswered(r, true, PX_END_SILENT);
-    } else if (r->rests && now - r->nb->status.silent_at > px_turn(s, MOVE_OVER_US)) {
+    } else if (r->rests && now - r->nb->status.silent_since > px_turn(s, MOVE_OVER_US)) {
         leave(r, PX_END_SILENT);
     }
 }
@@ -496,7 +496,7 @@
     if (r->left || !r->s->net)
         return;
     if (r->asked)
-        nb_waits(&r->nb->status, r->asked_at, px_heard(r->s->p));
+        nb_unanswered(&r->nb->status, r->asked_at, px_heard(r->s->p));
     if (r->nb->status.state == NB_SILENT)
         leave_silent(r, now);
 }
@@ -527,7 +527,7 @@
     }
     int64_t heard = px_heard(s->p);
     if (!r->by_other)
-        nb_waits(&r->nb->status, r->began, heard);
+        nb_unanswered(&r->nb->status, r->began, heard);
     if (heard - r->began > GREET_US || r->nb->status.state == NB_SILENT)
         greeting_late(r, now);
 }
--- a/proxy/window.c
+++ b/proxy/window.c
@@ -5,57 +5,58 @@
 /* All nodes that share an instance may begin at the same moment. With eight each, sixteen of
  * them met a queue of 24 with 128 statements after a loss of all power, and 2,000 statements in
  * 0.2 s were refused as busy; one each fits, and is widened with each answer. */
-#define START 1.0
-#define MOST 64.0
-#define LEAST 0.15
-#define CUT_FULL 0.7
-#define CUT_SLOW 0.9
-#define WIDEN 0.5
-#define SMOOTH (1.0 / 16)
+#define INITIAL_SIZE 1.0
+#define MAX_SIZE 64.0
+#define MIN_SIZE 0.15
+#define SHRINK_QUEUE_FULL 0.7
+#define SHRINK_SLOW 0.9
+#define GROWTH 0.5
+#define SMOOTHING (1.0 / 16)
 /* Statements differ in work; only a mean far above the calm one is a queue. */
-#define SLOW_TIMES 3.0
-#define SLOW_PLUS_US 25000.0
-#define CREEP 1.0005 /* the instance may have become slower for good */
-#define FIRST_US 15000.0
+#define SLOW_FACTOR 3.0
+#define SLOW_MARGIN_US 25000.0
+#define BASELINE_GROWTH 1.0005 /* the instance may have become slower for good */
+#define INITIAL_TIME_US 15000.0
 
 void px_window_init(struct px_window *w)
 {
-    *w = (struct px_window){.size = START, .smooth_us = FIRST_US, .calm_us = FIRST_US};
+    *w = (struct px_window){
+        .size = INITIAL_SIZE, .smoothed_us = INITIAL_TIME_US, .baseline_us = INITIAL_TIME_US};
 }
 
-static void cut(struct px_window *w, double by, int64_t now)
+static void shrink(struct px_window *w, double by, int64_t now)
 {
     /* Once a round trip: what is out now was sent under the wider window. */
-    if (now - w->cut_at < (int64_t)w->smooth_us)
+    if (now - w->shrunk_at < (int64_t)w->smoothed_us)
         return;
-    w->cut_at = now;
+    w->shrunk_at = now;
     w->size *= by;
-    if (w->size < LEAST)
-        w->size = LEAST;
+    if (w->size < MIN_SIZE)
+        w->size = MIN_SIZE;
 }
 
-void px_window_full(struct px_window *w, int64_t now)
+void px_window_queue_full(struct px_window *w, int64_t now)
 {
-    cut(w, CUT_FULL, now);
+    shrink(w, SHRINK_QUEUE_FULL, now);
 }
 
-void px_window_done(struct px_window *w, int64_t us, int running, int64_t now)
+void px_window_answered(struct px_window *w, int64_t us, int running, int64_t now)
 {
-    w->smooth_us += ((double)us - w->smooth_us) * SMOOTH;
-    w->calm_us *= CREEP;
-    if (w->smooth_us < w->calm_us)
-        w->calm_us = w->smooth_us;
-    if (w->smooth_us > w->calm_us * SLOW_TIMES + SLOW_PLUS_US)
-        cut(w, CUT_SLOW, now);
-    else if (running + 1 >= (int)w->size && w->size < MOST)
-        w->size += w->size > 1 ? WIDEN / w->size : WIDEN * w->size;
+    w->smoothed_us += ((double)us - w->smoothed_us) * SMOOTHING;
+    w->baseline_us *= BASELINE_GROWTH;
+    if (w->smoothed_us < w->baseline_us)
+        w->baseline_us = w->smoothed_us;
+    if (w->smoothed_us > w->baseline_us * SLOW_FACTOR + SLOW_MARGIN_US)
+        shrink(w, SHRINK_SLOW, now);
+    else if (running + 1 >= (int)w->size && w->size < MAX_SIZE)
+        w->size += w->size > 1 ? GROWTH / w->size : GROWTH * w->size;
     if (w->size < 1)
-        w->next_at = now + (int64_t)(w->smooth_us * (1 / w->size - 1));
+        w->next_send_at = now + (int64_t)(w->smoothed_us * (1 / w->size - 1));
 }
 
 bool px_window_open(const struct px_window *w, int running, int64_t now)
 {
     if (w->size >= 1)
         return running < (int)w->size;
-    return running == 0 && now >= w->next_at;
+    return running == 0 && now >= w->next_send_at;
 }
--- a/proxy/window.h
+++ b/proxy/window.h
@@ -11,19 +11,19 @@
 #include <stdint.h>
 
 struct px_window {
-    double size;      /* statements; under 1: one, with pauses between */
-    double smooth_us; /* of a statement, queueing at the instance included */
-    double calm_us;   /* the least of smooth_us lately */
-    int64_t cut_at;   /* when it was lowered last */
-    int64_t next_at;  /* size under 1: the next one not before */
+    double size;          /* statements; under 1: one, with pauses between */
+    double smoothed_us;   /* of a statement, queueing at the instance included */
+    double baseline_us;   /* the least of smooth_us lately */
+    int64_t shrunk_at;    /* when it was lowered last */
+    int64_t next_send_at; /* size under 1: the next one not before */
 };
 
 /* It begins with one statement. */
 void px_window_init(struct px_window *w);
 /* A statement came back after `us`; `running` others are out still. */
-void px_window_done(struct px_window *w, int64_t us, int running, int64_t now);
+void px_window_answered(struct px_window *w, int64_t us, int running, int64_t now);
 /* The instance's queue was full. */
-void px_window_full(struct px_window *w, int64_t now);
+void px_window_queue_full(struct px_window *w, int64_t now);
 bool px_window_open(const struct px_window *w, int running, int64_t now);
 
 #endif
--- a/tests/unit/test_neighbor.c
+++ b/tests/unit/test_neighbor.c
@@ -19,11 +19,11 @@
 static int fall_silent(struct nb_neighbor *n, int ms)
 {
     for (int t = ms; t < ms + 2000; t += 50) {
-        nb_waits(n, at(ms), at(t));
+        nb_unanswered(n, at(ms), at(t));
         if (nb_trial_late(n, at(t)))
-            nb_trial_over(n, false, at(t));
+            nb_trial_ended(n, false, at(t));
         if (nb_trial_due(n, at(t)))
-            nb_tried(n, at(t));
+            nb_trial_began(n, at(t));
         if (n->state == NB_SILENT)
             return t;
     }
@@ -35,7 +35,7 @@
 static void a_frozen_holder_is_known_within_half_a_second(void)
 {
     struct nb_neighbor n = {0};
-    nb_heard(&n, at(0));
+    nb_received(&n, at(0));
     CU_ASSERT_EQUAL(nb_rank(&n, at(0)), NB_FIRST);
     int known = fall_silent(&n, 100);
     CU_ASSERT(known > 0 && known - 100 <= 600);
@@ -48,17 +48,17 @@
 {
     struct nb_neighbor n = {0};
     for (int t = 0; t < 3000; t += 50) {
-        nb_waits(&n, at(0), at(t));
+        nb_unanswered(&n, at(0), at(t));
         if (nb_trial_due(&n, at(t))) {
-            nb_tried(&n, at(t));
-            nb_trial_over(&n, true, at(t + 5));
+            nb_trial_began(&n, at(t));
+            nb_trial_ended(&n, true, at(t + 5));
         }
         CU_ASSERT(nb_rank(&n, at(t)) < NB_NEVER);
     }
     struct nb_neighbor busy = {0};
     for (int t = 0; t < 3000; t += 50) {
-        nb_heard(&busy, at(t));
-        nb_waits(&busy, at(0), at(t + 40));
+        nb_received(&busy, at(t));
+        nb_unanswered(&busy, at(0), at(t + 40));
         CU_ASSERT_EQUAL(busy.state, NB_GOOD);
     }
 }
@@ -69,13 +69,13 @@
 {
     struct nb_neighbor n = {0};
     int t = fall_silent(&n, 0);
-    nb_heard(&n, at(t + 10));
+    nb_received(&n, at(t + 10));
     CU_ASSERT_EQUAL(nb_rank(&n, at(t + 10)), NB_NEVER);
     while (!nb_trial_due(&n, at(t)))
         t += 10;
-    nb_tried(&n, at(t));
+    nb_trial_began(&n, at(t));
     CU_ASSERT_FALSE(nb_trial_due(&n, at(t + 1)));
-    nb_trial_over(&n, true, at(t + 5));
+    nb_trial_ended(&n, true, at(t + 5));
     CU_ASSERT_EQUAL(nb_rank(&n, at(t + 5)), NB_FIRST);
 }
 
@@ -84,9 +84,9 @@
     int trials = 0;
     for (int t = from; t < from + ms; t += 50) {
         if (nb_trial_late(n, at(t)))
-            nb_trial_over(n, false, at(t));
+            nb_trial_ended(n, false, at(t));
         if (nb_trial_due(n, at(t))) {
-            nb_tried(n, at(t));
+            nb_trial_began(n, at(t));
             trials++;
         }
     }
@@ -101,11 +101,11 @@
     CU_ASSERT(k >= 8 && k <= 14); /* every two seconds in the end */
     while (!nb_trial_due(&n, at(t)))
         t += 10;
-    nb_tried(&n, at(t));
-    nb_trial_over(&n, true, at(t + 1));
-    int64_t before = n.pause_us;
+    nb_trial_began(&n, at(t));
+    nb_trial_ended(&n, true, at(t + 1));
+    int64_t before = n.trial_pause_us;
     CU_ASSERT(fall_silent(&n, t + 100) > 0);
-    CU_ASSERT(n.pause_us >= before);
+    CU_ASSERT(n.trial_pause_us >= before);
 }
 
 /* Load: a holder that is cut off from control says no to sessions: another is asked first, for
@@ -113,7 +113,7 @@
 static void who_refuses_is_asked_last(void)
 {
     struct nb_neighbor n = {0};
-    nb_refused(&n, CK_MS(300), at(0));
+    nb_session_refused(&n, CK_MS(300), at(0));
     CU_ASSERT_EQUAL(nb_rank(&n, at(10)), NB_LAST);
     CU_ASSERT_FALSE(nb_trial_due(&n, at(10)));
     CU_ASSERT_EQUAL(nb_rank(&n, at(301)), NB_FIRST);
--- a/tests/unit/test_proxy.c
+++ b/tests/unit/test_proxy.c
@@ -85,26 +85,26 @@
     struct px_outlier o = {0};
     int64_t now = 1000000;
     for (int i = 0; i < 400; i++) /* one lost answer in forty */
-        px_outlier_note(&o, i % 40 != 0, now += 10000);
+        px_outlier_record(&o, i % 40 != 0, now += 10000);
     CU_ASSERT_FALSE(px_outlier_failing(&o, now));
     for (int i = 0; i < 3; i++)
-        px_outlier_note(&o, false, now);
+        px_outlier_record(&o, false, now);
     CU_ASSERT_FALSE(px_outlier_failing(&o, now)); /* three of many */
     for (int i = 0; i < 10000; i++)
-        px_outlier_note(&o, true, now);
+        px_outlier_record(&o, true, now);
     for (int i = 0; i < 40; i++) /* a busy past excuses nothing */
-        px_outlier_note(&o, i % 2 == 0, now);
+        px_outlier_record(&o, i % 2 == 0, now);
     CU_ASSERT_TRUE(px_outlier_failing(&o, now));
     o = (struct px_outlier){0};
-    px_outlier_note(&o, false, now);
+    px_outlier_record(&o, false, now);
     CU_ASSERT_FALSE(px_outlier_failing(&o, now) || px_outlier_sound(&o, now)); /* too few */
     for (int i = 0; i < 20; i++)                                               /* two in five */
-        px_outlier_note(&o, i % 5 > 1, now += 100000);
+        px_outlier_record(&o, i % 5 > 1, now += 100000);
     CU_ASSERT_TRUE(px_outlier_failing(&o, now));
     now += 10000000; /* asked no more, it is trusted again */
     CU_ASSERT_FALSE(px_outlier_failing(&o, now) || px_outlier_sound(&o, now));
     for (int i = 0; i < 3; i++)
-        px_outlier_note(&o, true, now);
+        px_outlier_record(&o, true, now);
     CU_ASSERT_TRUE(px_outlier_sound(&o, now));
 }
 
@@ -272,29 +272,29 @@
     int64_t now = 1000000;
     px_window_init(&w);
     for (int i = 0; i < 400; i++) /* calm: it widens while it is used, and only then */
-        px_window_done(&w, 15000, 63, now += 5000);
+        px_window_answered(&w, 15000, 63, now += 5000);
     CU_ASSERT_TRUE(w.size > 16);
     double wide = w.size;
     for (int i = 0; i < 400; i++)
-        px_window_done(&w, 15000, 1, now += 5000);
+        px_window_answered(&w, 15000, 1, now += 5000);
     CU_ASSERT_EQUAL(w.size, wide);
-    px_window_full(&w, now);
+    px_window_queue_full(&w, now);
     double once = w.size;
     CU_ASSERT_TRUE(once < wide);
-    px_window_full(&w, now + 1); /* once a round trip */
+    px_window_queue_full(&w, now + 1); /* once a round trip */
     CU_ASSERT_EQUAL(w.size, once);
     for (int i = 0; i < 100; i++)
-        px_window_full(&w, now += 100000);
+        px_window_queue_full(&w, now += 100000);
     CU_ASSERT_TRUE(w.size > 0 && w.size < 1);
-    px_window_done(&w, 15000, 0, now); /* one, then a pause */
+    px_window_answered(&w, 15000, 0, now); /* one, then a pause */
     CU_ASSERT_FALSE(px_window_open(&w, 0, now) || px_window_open(&w, 1, now + 1000000));
     CU_ASSERT_TRUE(px_window_open(&w, 0, now + 1000000));
     px_window_init(&w);
     for (int i = 0; i < 400; i++)
-        px_window_done(&w, 15000, 63, now += 5000);
+        px_window_answered(&w, 15000, 63, now += 5000);
     CU_ASSERT_TRUE(w.size > 8);
     for (int i = 0; i < 400; i++) /* slow by queueing */
-        px_window_done(&w, 90000, 63, now += 90000);
+        px_window_answered(&w, 90000, 63, now += 90000);
     CU_ASSERT_TRUE(w.size < 4);
 }
 
@@ -314,7 +314,7 @@
     }
     CU_ASSERT(sent >= SLOTS && sent <= SLOTS + QUEUE);
     for (int i = 0; i < ANSWERS; i++)
-        px_window_done(&w[0], 15000, (int)w[0].size - 1, now += 15000);
+        px_window_answered(&w[0], 15000, (int)w[0].size - 1, now += 15000);
     CU_ASSERT_TRUE(px_window_open(&w[0], 2, now));
 }
 
