--- a/proxy/holders.c
+++ b/proxy/holders.c
@@ -130,17 +130,18 @@
 static void place_accounts(struct px_group *g)
 {
     const struct ac_table *t = &g->p->catalog.accounts;
-    struct sp_account *a = sr_alloc(sizeof(*a) * (size_t)(t->n + 1));
+    struct pl_account *a = sr_alloc(sizeof(*a) * (size_t)(t->n + 1));
     for (int i = 0; i < t->n; i++) {
         const struct ac_account *from = &t->accounts[i];
-        a[i] = (struct sp_account){from->name, from->limited ? from->rate : 0};
+        a[i] = (struct pl_account){from->name, from->limited ? from->rate : 0};
     }
     g->placements = sr_alloc(sizeof(*g->placements) * (size_t)(t->n + 1));
-    sp_place(a, t->n, g->p->nodes, g->holders, g->n_holders, g->cfg.name, g->placements);
+    pl_place_accounts(a, t->n, g->p->nodes, g->holders, g->n_holders, g->cfg.name,
+                      g->placements);
     free(a);
 }
 
-const struct sp_place *px_account_placement(struct px_group *g, const char *account)
+const struct pl_placement *px_account_placement(struct px_group *g, const char *account)
 {
     const struct ac_table *t = &g->p->catalog.accounts;
     const struct ac_account *a = ac_by_name(t, account);
@@ -163,10 +164,10 @@
 int px_holders_for(const struct px_session *s, struct px_group *g, int *out)
 {
     const struct px_proxy *p = s->p;
-    const struct sp_place *place = px_account_placement(g, s->account);
+    const struct pl_placement *place = px_account_placement(g, s->account);
     ho_order(p->nodes, g->holders, g->n_holders, g->cfg.name, s->account, out);
     for (int k = 0; place && k < place->n; k++) {
-        int at = place->at[(s->state.session + (uint64_t)k) % place->n], i = k;
+        int at = place->holder[(s->state.session + (uint64_t)k) % place->n], i = k;
         while (out[i] != at)
             i++;
         move_forward(out, i, k);
@@ -179,7 +180,7 @@
 bool px_serves_account(const struct px_session *s, struct px_group *g)
 {
     const struct px_proxy *p = s->p;
-    const struct sp_place *place = px_account_placement(g, s->account);
+    const struct pl_placement *place = px_account_placement(g, s->account);
     int order[HO_MAX_HOLDERS], n = px_holders_for(s, g, order);
     int meet = place ? place->n : 1;
     for (int k = 0; k < meet && k < n; k++) {
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -22,7 +22,7 @@
 #include "proxy/window.h"
 #include "route/holders.h"
 #include "route/route.h"
-#include "route/spread.h"
+#include "route/placement.h"
 
 struct px_session;
 struct px_inst;
@@ -132,7 +132,7 @@
     uint16_t holders[HO_MAX_HOLDERS];
     /* Where the document's accounts are among the holders, by their number there; NULL until it
      * is asked for. */
-    struct sp_place *placements;
+    struct pl_placement *placements;
     struct px_handover handover;
     int64_t wait_failed_at;  /* a statement waited for its primary in vain */
     int64_t term_began_at;   /* this node acts on its term */
@@ -495,7 +495,7 @@
 /* Whether this node is one of those at which the account's sessions meet. */
 bool px_serves_account(const struct px_session *s, struct px_group *g);
 /* The account's first holders in the group; NULL: the document doesn't list it. */
-const struct sp_place *px_account_placement(struct px_group *g, const char *account);
+const struct pl_placement *px_account_placement(struct px_group *g, const char *account);
 /* Whether this node has an open connection to the group's primary, as far as there is one. */
 bool px_reaches_primary(const struct px_group *g);
 
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -330,10 +330,10 @@
                      const char *nodes[HO_MAX_HOLDERS])
 {
     struct px_group *g = px_group(p, group);
-    const struct sp_place *place = g ? px_account_placement(g, account) : NULL;
+    const struct pl_placement *place = g ? px_account_placement(g, account) : NULL;
     int n = place ? place->n : 0;
     for (int k = 0; k < n; k++)
-        nodes[k] = p->nodes[g->holders[place->at[k]]].name;
+        nodes[k] = p->nodes[g->holders[place->holder[k]]].name;
     return n;
 }
 
--- a/route/spread.h
+++ b/route/placement.h
@@ -8,28 +8,29 @@
  *
  * Pure. It follows from the document and the list of nodes alone, so that every node that has
  * the same two finds the same places; one with an older list costs a hop, no promise. */
-#ifndef FL_ROUTE_SPREAD_H
-#define FL_ROUTE_SPREAD_H
+#ifndef FL_ROUTE_PLACEMENT_H
+#define FL_ROUTE_PLACEMENT_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
 #include "route/holders.h"
 
-enum { SP_PARTS = 4 }; /* holders of one account in a group, at most */
+enum { PL_MAX_PARTS = 4 }; /* holders of one account in a group, at most */
 
-struct sp_account {
+struct pl_account {
     const char *name;
     double size; /* operations a second that its limit allows; 0: not told */
 };
 
-struct sp_place {
+struct pl_placement {
     uint8_t n;
-    uint8_t at[SP_PARTS]; /* numbers in the group's holders */
+    uint8_t holder[PL_MAX_PARTS]; /* numbers in the group's holders */
 };
 
 /* Place each of the accounts; `out` gets one place for each. n_holders is above 0. */
-void sp_place(const struct sp_account *accounts, int n, const struct ho_node *nodes,
-              const uint16_t *holders, int n_holders, const char *group, struct sp_place *out);
+void pl_place_accounts(const struct pl_account *accounts, int n, const struct ho_node *nodes,
+                       const uint16_t *holders, int n_holders, const char *group,
+                       struct pl_placement *out);
 
 #endif
--- a/tests/unit/test_spread.c
+++ b/tests/unit/test_spread.c
@@ -6,7 +6,7 @@
 
 #include "misc/rng.h"
 #include "route/capacity.h"
-#include "route/spread.h"
+#include "route/placement.h"
 #include "tests/unit/unit.h"
 
 enum { ACCOUNTS = 81, MOST_NODES = 96, HOLDERS = 15, SEEDS = 100 };
@@ -14,11 +14,11 @@
 struct load {
     struct ho_node nodes[MOST_NODES];
     int n;
-    struct sp_account accounts[ACCOUNTS];
+    struct pl_account accounts[ACCOUNTS];
     char names[ACCOUNTS][16];
     uint16_t holders[HO_MAX_HOLDERS];
     int n_holders;
-    struct sp_place places[ACCOUNTS];
+    struct pl_placement places[ACCOUNTS];
 };
 
 /* `strong` nodes of each of three failure domains carry twelve times what the others do. */
@@ -41,7 +41,7 @@
     for (int i = 0; i < ACCOUNTS; i++) {
         snprintf(l->names[i], sizeof(l->names[i]), "a%llu",
                  (unsigned long long)rn_below(&r, 1000000000));
-        l->accounts[i] = (struct sp_account){l->names[i], 1000 / pow(i + 1, skew)};
+        l->accounts[i] = (struct pl_account){l->names[i], 1000 / pow(i + 1, skew)};
     }
 }
 
@@ -51,7 +51,8 @@
     l->n_holders = ho_pick(l->nodes, l->n, group, k, out);
     for (int i = 0; i < l->n_holders; i++)
         l->holders[i] = (uint16_t)out[i];
-    sp_place(l->accounts, ACCOUNTS, l->nodes, l->holders, l->n_holders, group, l->places);
+    pl_place_accounts(l->accounts, ACCOUNTS, l->nodes, l->holders, l->n_holders, group,
+                      l->places);
 }
 
 /* The busiest holder's load over the mean. */
@@ -60,7 +61,7 @@
     double had[HO_MAX_HOLDERS] = {0}, sum = 0, most = 0;
     for (int i = 0; i < ACCOUNTS; i++) {
         for (int k = 0; k < l->places[i].n; k++)
-            had[l->places[i].at[k]] += l->accounts[i].size / l->places[i].n;
+            had[l->places[i].holder[k]] += l->accounts[i].size / l->places[i].n;
         sum += l->accounts[i].size;
     }
     for (int h = 0; h < l->n_holders; h++)
@@ -74,7 +75,7 @@
     double sum = 0;
     for (int i = 0; i < ACCOUNTS; i++)
         sum += l->accounts[i].size;
-    return l->accounts[0].size / SP_PARTS / (sum / l->n_holders);
+    return l->accounts[0].size / PL_MAX_PARTS / (sum / l->n_holders);
 }
 
 static void accounts_of_any_size_fill_no_holder(void)
@@ -103,11 +104,11 @@
     place(&l, "g", 6);
     int divided = 0;
     for (int i = 0; i < ACCOUNTS; i++) {
-        const struct sp_place *p = &l.places[i];
-        CU_ASSERT(p->n >= 1 && p->n <= SP_PARTS);
+        const struct pl_placement *p = &l.places[i];
+        CU_ASSERT(p->n >= 1 && p->n <= PL_MAX_PARTS);
         divided += p->n > 1;
         for (int k = 1; k < p->n; k++)
-            CU_ASSERT_NOT_EQUAL(p->at[k], p->at[0]);
+            CU_ASSERT_NOT_EQUAL(p->holder[k], p->holder[0]);
     }
     CU_ASSERT(l.places[0].n > 1);
     CU_ASSERT(divided <= 4);
@@ -122,7 +123,7 @@
     b = a;
     for (int i = 0; i < ACCOUNTS; i++)
         b.accounts[i] =
-            (struct sp_account){a.names[ACCOUNTS - 1 - i], a.accounts[ACCOUNTS - 1 - i].size};
+            (struct pl_account){a.names[ACCOUNTS - 1 - i], a.accounts[ACCOUNTS - 1 - i].size};
     place(&a, "g", 9);
     place(&b, "g", 9);
     for (int i = 0; i < ACCOUNTS; i++)
@@ -147,8 +148,8 @@
         ho_prepare(l.nodes, l.n);
         place(&l, "g", HOLDERS);
         for (int i = 0; i < ACCOUNTS; i++) {
-            const char *was = before.nodes[before.holders[before.places[i].at[0]]].name;
-            const char *is = l.nodes[l.holders[l.places[i].at[0]]].name;
+            const char *was = before.nodes[before.holders[before.places[i].holder[0]]].name;
+            const char *is = l.nodes[l.holders[l.places[i].holder[0]]].name;
             bool on_lost = strcmp(was, before.nodes[lost].name) == 0;
             others += !on_lost && strcmp(was, is) != 0;
         }
@@ -188,7 +189,7 @@
         make_accounts(&l, seed, 3);
         place(&l, "g", HOLDERS);
         for (int k = 0; k < l.places[0].n; k++)
-            CU_ASSERT_TRUE(l.nodes[l.holders[l.places[0].at[k]]].strong);
+            CU_ASSERT_TRUE(l.nodes[l.holders[l.places[0].holder[k]]].strong);
     }
 }
 
