--- a/control/control.h
+++ b/control/control.h
@@ -192,7 +192,7 @@
     int n_conns;
     struct ct_peer *peers;
     struct nt_listener *peer_listener, *ops_listener;
-    struct nl_book nodes; /* entry nodes with a lease, as of nodes_at */
+    struct nl_history nodes; /* entry nodes with a lease, as of nodes_at */
     int64_t nodes_at;
     struct wr_decoder dec;
     struct nt_timer tick, soon;
--- a/control/nodes.c
+++ b/control/nodes.c
@@ -214,7 +214,7 @@
             k += list_node(c, &list[k]);
     }
     uint64_t hash = nl_sort(list, k);
-    nl_note(&n->nodes, list, k, hash);
+    nl_record(&n->nodes, list, k, hash);
     free(list);
 }
 
@@ -226,19 +226,19 @@
 
 static void encode_nodes(const struct nl_change *ch, bool told, struct sr_buf *out)
 {
-    struct wr_node *came = sr_alloc(sizeof(*came) * (size_t)(ch->n_came + 1));
-    struct sr_str *gone = sr_alloc(sizeof(*gone) * (size_t)(ch->n_gone + 1));
+    struct wr_node *came = sr_alloc(sizeof(*came) * (size_t)(ch->n_added + 1));
+    struct sr_str *gone = sr_alloc(sizeof(*gone) * (size_t)(ch->n_removed + 1));
     struct wr_msg m = {.type = WR_NODES,
-                       .nodes = {.n = (uint32_t)ch->n_came,
+                       .nodes = {.n = (uint32_t)ch->n_added,
                                  .nodes = came,
                                  .from = ch->from,
                                  .to = told ? ch->to : 0,
-                                 .n_gone = (uint32_t)ch->n_gone,
+                                 .n_gone = (uint32_t)ch->n_removed,
                                  .gone = gone}};
-    for (int i = 0; i < ch->n_came; i++)
-        came[i] = wire_node(ch->came[i]);
-    for (int i = 0; i < ch->n_gone; i++)
-        gone[i] = sr_from(ch->gone[i]);
+    for (int i = 0; i < ch->n_added; i++)
+        came[i] = wire_node(ch->added[i]);
+    for (int i = 0; i < ch->n_removed; i++)
+        gone[i] = sr_from(ch->removed[i]);
     wr_encode(out, &m);
     free(came);
     free(gone);
--- a/entry/link.c
+++ b/entry/link.c
@@ -273,12 +273,12 @@
     struct nl_change ch = {.from = m->from, .to = m->to};
     for (uint32_t i = 0; i < m->n; i++) {
         if (read_node(&m->nodes[i], &named[i]))
-            ch.came[ch.n_came++] = &named[i];
+            ch.added[ch.n_added++] = &named[i];
     }
     for (uint32_t i = 0; i < m->n_gone; i++) {
         struct ho_node *x = &named[m->n + i];
         if (sr_copy(x->name, sizeof(x->name), m->gone[i]))
-            ch.gone[ch.n_gone++] = x->name;
+            ch.removed[ch.n_removed++] = x->name;
     }
     bool taken = nl_apply(n->nodes, &n->n_nodes, &n->nodes_hash, &ch);
     free(named);
--- a/route/nodelist.c
+++ b/route/nodelist.c
@@ -37,12 +37,12 @@
 
 /* ---- the leader's side ---- */
 
-const struct nl_list *nl_newest(const struct nl_book *b)
+const struct nl_list *nl_newest(const struct nl_history *b)
 {
     return b->n ? &b->kept[(b->n - 1) % NL_KEPT] : NULL;
 }
 
-bool nl_note(struct nl_book *b, const struct ho_node *nodes, int n, uint64_t hash)
+bool nl_record(struct nl_history *b, const struct ho_node *nodes, int n, uint64_t hash)
 {
     const struct nl_list *newest = nl_newest(b);
     if (newest && newest->hash == hash)
@@ -55,7 +55,7 @@
     return true;
 }
 
-static const struct nl_list *kept(const struct nl_book *b, uint64_t hash)
+static const struct nl_list *find_kept(const struct nl_history *b, uint64_t hash)
 {
     for (int i = 0; hash > NL_EMPTY && i < NL_KEPT; i++) {
         if (b->kept[i].hash == hash)
@@ -64,22 +64,22 @@
     return NULL;
 }
 
-static bool same_place(const struct ho_node *a, const struct ho_node *b)
+static bool same_entry(const struct ho_node *a, const struct ho_node *b)
 {
     return strcmp(a->domain, b->domain) == 0 && strcmp(a->ip, b->ip) == 0 &&
            a->port == b->port && a->carries == b->carries;
 }
 
-static void whole(const struct nl_list *to, struct nl_change *out)
+static void set_whole_list(const struct nl_list *to, struct nl_change *out)
 {
     out->from = 0;
-    out->n_gone = 0;
-    out->n_came = to->n;
+    out->n_removed = 0;
+    out->n_added = to->n;
     for (int i = 0; i < to->n; i++)
-        out->came[i] = &to->nodes[i];
+        out->added[i] = &to->nodes[i];
 }
 
-static void difference(const struct nl_list *from, const struct nl_list *to,
+static void diff_lists(const struct nl_list *from, const struct nl_list *to,
                        struct nl_change *out)
 {
     int a = 0, b = 0;
@@ -87,39 +87,39 @@
         const struct ho_node *x = a < from->n ? &from->nodes[a] : NULL;
         const struct ho_node *y = b < to->n ? &to->nodes[b] : NULL;
         int order = !x ? 1 : !y ? -1 : strcmp(x->name, y->name);
-        if (order == 0 && same_place(x, y)) {
+        if (order == 0 && same_entry(x, y)) {
             a++;
             b++;
             continue;
         }
         if (order <= 0) {
-            out->gone[out->n_gone++] = x->name;
+            out->removed[out->n_removed++] = x->name;
             a++;
         }
         if (order >= 0) {
-            out->came[out->n_came++] = y;
+            out->added[out->n_added++] = y;
             b++;
         }
     }
 }
 
-void nl_since(const struct nl_book *b, uint64_t has, struct nl_change *out)
+void nl_since(const struct nl_history *b, uint64_t has, struct nl_change *out)
 {
-    const struct nl_list *to = nl_newest(b), *from = kept(b, has);
+    const struct nl_list *to = nl_newest(b), *from = find_kept(b, has);
     *out = (struct nl_change){.from = has, .to = to ? to->hash : 0};
     if (!to)
         return;
     if (from)
-        difference(from, to, out);
-    if (!from || out->n_came + out->n_gone > to->n)
-        whole(to, out);
+        diff_lists(from, to, out);
+    if (!from || out->n_added + out->n_removed > to->n)
+        set_whole_list(to, out);
 }
 
-void nl_free(struct nl_book *b)
+void nl_free(struct nl_history *b)
 {
     for (int i = 0; i < NL_KEPT; i++)
         free(b->kept[i].nodes);
-    *b = (struct nl_book){0};
+    *b = (struct nl_history){0};
 }
 
 /* ---- a node's side ---- */
@@ -139,13 +139,13 @@
         return false;
     if (!c->from)
         *n = 0;
-    for (int i = 0; i < c->n_gone; i++) {
-        int at = find(nodes, *n, c->gone[i]);
+    for (int i = 0; i < c->n_removed; i++) {
+        int at = find(nodes, *n, c->removed[i]);
         if (at >= 0)
             nodes[at] = nodes[--*n];
     }
-    for (int i = 0; i < c->n_came && *n < HO_MAX_NODES; i++)
-        nodes[(*n)++] = *c->came[i];
+    for (int i = 0; i < c->n_added && *n < HO_MAX_NODES; i++)
+        nodes[(*n)++] = *c->added[i];
     *hash = nl_sort(nodes, *n);
     if (c->to && *hash != c->to)
         *hash = NL_EMPTY;
--- a/route/nodelist.h
+++ b/route/nodelist.h
@@ -31,7 +31,7 @@
 };
 
 /* The newest lists, a ring. */
-struct nl_book {
+struct nl_history {
     struct nl_list kept[NL_KEPT];
     uint64_t n; /* noted so far */
 };
@@ -39,24 +39,24 @@
 /* From one list to another. Nodes point into the lists it was made from, or into a message. */
 struct nl_change {
     uint64_t from, to; /* hashes; from = 0: `came` is the whole list */
-    int n_came, n_gone;
-    const struct ho_node *came[HO_MAX_NODES];
-    const char *gone[HO_MAX_NODES]; /* names; a node that moved stands in both */
+    int n_added, n_removed;
+    const struct ho_node *added[HO_MAX_NODES];
+    const char *removed[HO_MAX_NODES]; /* names; a node that moved stands in both */
 };
 
 /* Sort by name; returns the list's hash. */
 uint64_t nl_sort(struct ho_node *nodes, int n);
 /* The list is now this, sorted, of this hash. Returns whether that is news. */
-bool nl_note(struct nl_book *b, const struct ho_node *nodes, int n, uint64_t hash);
+bool nl_record(struct nl_history *b, const struct ho_node *nodes, int n, uint64_t hash);
 /* The newest list, NULL before the first. */
-const struct nl_list *nl_newest(const struct nl_book *b);
+const struct nl_list *nl_newest(const struct nl_history *b);
 /* What a node that has list `has` lacks of the newest; the whole if `has` is not kept, or if
  * that is shorter. */
-void nl_since(const struct nl_book *b, uint64_t has, struct nl_change *out);
+void nl_since(const struct nl_history *b, uint64_t has, struct nl_change *out);
 /* Carry the change out on a node's list of at most HO_MAX_NODES, sorted, with hash *hash.
  * False, and nothing is changed: it belongs to another list. What does not lead to the hash it
  * names leaves *hash NL_EMPTY, so that the node asks for the whole. */
 bool nl_apply(struct ho_node *nodes, int *n, uint64_t *hash, const struct nl_change *c);
-void nl_free(struct nl_book *b);
+void nl_free(struct nl_history *b);
 
 #endif
--- a/tests/unit/test_nodelist.c
+++ b/tests/unit/test_nodelist.c
@@ -32,7 +32,7 @@
 }
 
 /* Note the list of those with present[i]. */
-static void note(struct nl_book *b, const bool *present)
+static void note(struct nl_history *b, const bool *present)
 {
     static struct ho_node list[NODES];
     int n = 0;
@@ -41,33 +41,33 @@
             list[n++] = node(i);
     }
     uint64_t hash = nl_sort(list, n);
-    nl_note(b, list, n, hash);
+    nl_record(b, list, n, hash);
 }
 
 /* Bytes of what leads from list `has` to the newest; `told`: the node says which it has. */
-static size_t bytes_of(const struct nl_book *b, uint64_t has, bool told)
+static size_t bytes_of(const struct nl_history *b, uint64_t has, bool told)
 {
     static struct nl_change ch;
     static struct wr_node came[HO_MAX_NODES];
     static struct sr_str gone[HO_MAX_NODES];
     struct sr_buf out = {0};
     nl_since(b, has, &ch);
-    for (int i = 0; i < ch.n_came; i++)
-        came[i] = (struct wr_node){sr_from(ch.came[i]->name), sr_from(ch.came[i]->domain),
-                                   sr_from(ch.came[i]->ip), (uint32_t)ch.came[i]->port,
-                                   (uint32_t)ch.came[i]->carries};
-    for (int i = 0; i < ch.n_gone; i++)
-        gone[i] = sr_from(ch.gone[i]);
+    for (int i = 0; i < ch.n_added; i++)
+        came[i] = (struct wr_node){sr_from(ch.added[i]->name), sr_from(ch.added[i]->domain),
+                                   sr_from(ch.added[i]->ip), (uint32_t)ch.added[i]->port,
+                                   (uint32_t)ch.added[i]->carries};
+    for (int i = 0; i < ch.n_removed; i++)
+        gone[i] = sr_from(ch.removed[i]);
     struct wr_msg m = {.type = WR_NODES,
-                       .nodes = {(uint32_t)ch.n_came, came, ch.from, told ? ch.to : 0,
-                                 (uint32_t)ch.n_gone, gone}};
+                       .nodes = {(uint32_t)ch.n_added, came, ch.from, told ? ch.to : 0,
+                                 (uint32_t)ch.n_removed, gone}};
     wr_encode(&out, &m);
     size_t len = out.len;
     sr_buf_free(&out);
     return len;
 }
 
-static size_t follow(const struct nl_book *b, struct copy *c)
+static size_t follow(const struct nl_history *b, struct copy *c)
 {
     static struct nl_change ch;
     if (c->hash == nl_newest(b)->hash)
@@ -83,7 +83,7 @@
  * whole as before, the list would fill its link for longer than an election takes. */
 static void a_new_leader_repeats_nothing(void)
 {
-    static struct nl_book before, after;
+    static struct nl_history before, after;
     static struct copy c;
     bool present[NODES];
     memset(present, true, sizeof(present));
@@ -102,7 +102,7 @@
 static void half_return_within_a_second(void)
 {
     enum { STEPS = 10 };
-    static struct nl_book b;
+    static struct nl_history b;
     static struct copy c;
     bool present[NODES] = {false};
     size_t most = 0;
@@ -127,7 +127,7 @@
 static void every_copy_follows(void)
 {
     enum { STEPS = 2000, COPIES = 4 };
-    static struct nl_book b;
+    static struct nl_history b;
     static struct copy c[COPIES];
     struct rn_rng r = rn_seed(11);
     bool present[NODES] = {false};
@@ -158,7 +158,7 @@
  * makes the node ask for the whole; a node that moved is listed where it is. */
 static void wrong_changes_are_told(void)
 {
-    static struct nl_book b;
+    static struct nl_history b;
     static struct copy c;
     static struct nl_change ch;
     bool present[NODES] = {true, true, true};
@@ -169,7 +169,7 @@
     present[3] = true;
     note(&b, present);
     nl_since(&b, had, &ch);
-    CU_ASSERT(ch.from == had && ch.n_came == 1 && ch.n_gone == 0);
+    CU_ASSERT(ch.from == had && ch.n_added == 1 && ch.n_removed == 0);
     ch.from++;
     CU_ASSERT_FALSE(nl_apply(c.nodes, &c.n, &c.hash, &ch));
     CU_ASSERT(c.n == 3 && c.hash == had);
@@ -185,10 +185,10 @@
         moved[i] = node(i);
     moved[2].port = 9000;
     uint64_t hash = nl_sort(moved, 4);
-    CU_ASSERT_TRUE(nl_note(&b, moved, 4, hash));
-    CU_ASSERT_FALSE(nl_note(&b, moved, 4, hash));
+    CU_ASSERT_TRUE(nl_record(&b, moved, 4, hash));
+    CU_ASSERT_FALSE(nl_record(&b, moved, 4, hash));
     nl_since(&b, c.hash, &ch);
-    CU_ASSERT(ch.n_came == 1 && ch.n_gone == 1 && ch.came[0]->port == 9000);
+    CU_ASSERT(ch.n_added == 1 && ch.n_removed == 1 && ch.added[0]->port == 9000);
     follow(&b, &c);
     CU_ASSERT_EQUAL(c.n, 4);
     nl_free(&b);
