--- a/bench/decisions.c
+++ b/bench/decisions.c
@@ -28,11 +28,11 @@
     g.starts[0] = (struct ps_start){1, 0};
     for (int i = 0; i < 3; i++)
         g.inst[i] = (struct rt_inst){.usable = true, .limit = 4, .applied = {1, 1000}};
-    for (int i = 0; i < RT_SAMPLES; i++)
-        rt_primary_at(&g, CK_MS(25) * i, (struct ps_pos){1, (uint64_t)i});
+    for (int i = 0; i < RT_MAX_SAMPLES; i++)
+        rt_record_primary_pos(&g, CK_MS(25) * i, (struct ps_pos){1, (uint64_t)i});
     for (int i = 0; i < n; i++) {
         struct rt_query q = {true, {1, 900}, CK_MS(500), CK_MS(10)};
-        keep += (uint64_t)rt_read(&g, &q, 0, CK_MS(25) * RT_SAMPLES).inst;
+        keep += (uint64_t)rt_choose_for_read(&g, &q, 0, CK_MS(25) * RT_MAX_SAMPLES).inst;
     }
 }
 
--- a/bench/reads.c
+++ b/bench/reads.c
@@ -74,11 +74,11 @@
         if (p == w->push_pos[r])
             continue;
         w->push_pos[r] = p;
-        rt_applied(&w->g, r + 1, (struct ps_pos){1, p}, now);
+        rt_record_applied(&w->g, r + 1, (struct ps_pos){1, p}, now);
     }
     while (now >= w->next_sample + 2 * ONE_WAY_US) {
         uint64_t p = pos_at(w, -1, w->next_sample + ONE_WAY_US);
-        rt_primary_at(&w->g, w->next_sample, (struct ps_pos){1, p});
+        rt_record_primary_pos(&w->g, w->next_sample, (struct ps_pos){1, p});
         w->next_sample += SAMPLE_US;
     }
 }
@@ -103,7 +103,7 @@
     t->reads++;
     t->oracle +=
         placeable && (oracle_could(w, need, at) || oracle_could(w, need, at + wait_us));
-    struct rt_choice c = rt_read(&w->g, &q, 0, now);
+    struct rt_choice c = rt_choose_for_read(&w->g, &q, 0, now);
     uint64_t seen = pos_at(w, -1, at);
     if (c.inst > 0) {
         int r = c.inst - 1;
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -72,7 +72,7 @@
 static void sync_instances(struct en_group *g, const struct vw_group *v)
 {
     struct en_inst *next[VW_MAX_INSTANCES] = {0};
-    struct rt_inst rt[RT_MAX] = {0};
+    struct rt_inst rt[RT_MAX_INSTANCES] = {0};
     for (int i = 0; i < v->n; i++) {
         struct en_inst *in = take_inst(g, v->inst[i].id);
         if (in) {
--- a/entry/link.c
+++ b/entry/link.c
@@ -478,7 +478,7 @@
                           .port = (uint32_t)callers_port(s),
                           .role = s->observer ? WR_ROLE_OBSERVER : WR_ROLE_ENTRY,
                           .id = l->node->id,
-                          .carries = (uint32_t)cp_statements(s->link_kbps, s->core_permille),
+                          .carries = (uint32_t)cp_statements_per_s(s->link_kbps, s->core_permille),
                           .http = (uint32_t)s->entry_port};
     send_msg(l, &m);
 }
--- a/entry/pool.c
+++ b/entry/pool.c
@@ -53,7 +53,7 @@
     in->held = r->held;
     in->applied = r->applied;
     in->following = r->following;
-    rt_applied(&g->rt, in->at, r->applied, now);
+    rt_record_applied(&g->rt, in->at, r->applied, now);
     en_held_moved(g);
 }
 
@@ -66,7 +66,7 @@
         return;
     struct en_group *g = in->group;
     if (r->primary && in->at == g->cfg.primary && r->term == g->serve_term)
-        rt_primary_at(&g->rt, ep->status_at, r->held);
+        rt_record_primary_pos(&g->rt, ep->status_at, r->held);
     note_positions(in, r, now);
     if (g->n_parked && in->at == g->cfg.primary)
         en_unpark(g); /* it answers again */
--- a/entry/routing.c
+++ b/entry/routing.c
@@ -180,7 +180,7 @@
         to_primary(r);
         return;
     }
-    struct rt_choice c = rt_read(&g->rt, &q, r->tried, now);
+    struct rt_choice c = rt_choose_for_read(&g->rt, &q, r->tried, now);
     if (c.inst < 0 || c.primary) {
         to_primary(r);
         return;
--- a/proxy/conn.c
+++ b/proxy/conn.c
@@ -187,7 +187,7 @@
         in->known_pos = c->pos;
     bool primary = in->index == in->group->cfg.primary;
     if (primary && c->leased && c->term == in->group->cfg.term)
-        rt_primary_at(&in->group->rt, c->sent_at, c->pos);
+        rt_record_primary_pos(&in->group->rt, c->sent_at, c->pos);
 }
 
 static void note_service_time(struct px_conn *c)
--- a/proxy/holders.c
+++ b/proxy/holders.c
@@ -77,8 +77,8 @@
 {
     int64_t carry;
     int k = conns > 0 ? clamp_holders(conns / CONNS_PER_HOLDER_WITH_ACCOUNTS) : MIN_HOLDERS;
-    int n_strong = ho_strong(p->nodes, p->n_nodes, &carry);
-    int least = n_strong + ho_domains_without_strong(p->nodes, p->n_nodes);
+    int n_strong = ho_count_strong(p->nodes, p->n_nodes, &carry);
+    int least = n_strong + ho_count_domains_without_strong(p->nodes, p->n_nodes);
     return least < k && strong_suffice(p, n_strong, carry) ? least : k;
 }
 
--- a/route/capacity.h
+++ b/route/capacity.h
@@ -7,11 +7,11 @@
 
 #include <stdint.h>
 
-enum { CP_MOST = 10000000 }; /* statements a second that a node may say it serves, at most */
+enum { CP_MAX_STATEMENTS_PER_S = 10000000 }; /* statements a second that a node may say it serves, at most */
 
 /* Statements a second that a VM can serve for others beside its own work, by the weaker of its
  * link (kbit/s each way) and its processor (thousandths of a core); 0 of either: not told, the
  * other one counts. 0: neither is told. */
-int cp_statements(int64_t link_kbps, int64_t core_permille);
+int cp_statements_per_s(int64_t link_kbps, int64_t core_permille);
 
 #endif
--- a/route/holders.c
+++ b/route/holders.c
@@ -4,18 +4,18 @@
 
 #include <xxhash.h>
 
-enum { STRONG_PART = 4 }; /* strong: this part of the strongest node's carrying capacity */
+enum { STRONG_FRACTION = 4 }; /* strong: this part of the strongest node's carrying capacity */
 
 static void mark_strong(struct ho_node *nodes, int n)
 {
-    int most = 0;
+    int max_capacity = 0;
     for (int i = 0; i < n; i++)
-        most = nodes[i].carries > most ? nodes[i].carries : most;
+        max_capacity = nodes[i].carries > max_capacity ? nodes[i].carries : max_capacity;
     for (int i = 0; i < n; i++)
-        nodes[i].strong = (int64_t)nodes[i].carries * STRONG_PART >= most;
+        nodes[i].strong = (int64_t)nodes[i].carries * STRONG_FRACTION >= max_capacity;
 }
 
-int ho_strong(const struct ho_node *nodes, int n, int64_t *carry)
+int ho_count_strong(const struct ho_node *nodes, int n, int64_t *carry)
 {
     int k = 0;
     *carry = 0;
@@ -26,16 +26,16 @@
     return k;
 }
 
-int ho_domains_without_strong(const struct ho_node *nodes, int n)
+int ho_count_domains_without_strong(const struct ho_node *nodes, int n)
 {
-    bool there[HO_DOMAINS] = {0}, strong[HO_DOMAINS] = {0};
+    bool has_node[HO_DOMAINS] = {0}, has_strong[HO_DOMAINS] = {0};
     int k = 0;
     for (int i = 0; i < n; i++) {
-        there[nodes[i].place] = true;
-        strong[nodes[i].place] |= nodes[i].strong;
+        has_node[nodes[i].domain_index] = true;
+        has_strong[nodes[i].domain_index] |= nodes[i].strong;
     }
     for (int d = 0; d < HO_DOMAINS; d++)
-        k += there[d] && !strong[d];
+        k += has_node[d] && !has_strong[d];
     return k;
 }
 
@@ -46,18 +46,18 @@
     for (int i = 0; i < n; i++) {
         struct ho_node *x = &nodes[i];
         x->hash = XXH64(x->name, strlen(x->name), 0);
-        x->place = 0;
-        while (x->place < n_names && strcmp(names[x->place], x->domain) != 0)
-            x->place++;
-        if (x->place == HO_DOMAINS)
-            x->place--; /* the last stands for all that are over */
-        else if (x->place == n_names)
+        x->domain_index = 0;
+        while (x->domain_index < n_names && strcmp(names[x->domain_index], x->domain) != 0)
+            x->domain_index++;
+        if (x->domain_index == HO_DOMAINS)
+            x->domain_index--; /* the last stands for all that are over */
+        else if (x->domain_index == n_names)
             names[n_names++] = x->domain;
     }
     mark_strong(nodes, n);
 }
 
-static bool taken(const int *out, int n, int i)
+static bool is_picked(const int *out, int n, int i)
 {
     for (int k = 0; k < n; k++) {
         if (out[k] == i)
@@ -69,10 +69,10 @@
 /* Whether node i goes before node b: one of a failure domain that has none yet first, then
  * strong ones, then of the failure domain with fewest picked, then the one with the higher
  * score. */
-static bool goes_before(const struct ho_node *nodes, const uint64_t *score, const int *picked,
+static bool ranks_before(const struct ho_node *nodes, const uint64_t *score, const int *picked,
                         int i, int b)
 {
-    int here = picked[nodes[i].place], there = picked[nodes[b].place];
+    int here = picked[nodes[i].domain_index], there = picked[nodes[b].domain_index];
     if ((here == 0) != (there == 0))
         return here == 0;
     if (nodes[i].strong != nodes[b].strong)
@@ -85,8 +85,8 @@
 {
     int best = -1;
     for (int i = 0; i < n; i++) {
-        bool better = best < 0 || goes_before(nodes, score, picked, i, best);
-        if (better && !taken(out, n_out, i))
+        bool better = best < 0 || ranks_before(nodes, score, picked, i, best);
+        if (better && !is_picked(out, n_out, i))
             best = i;
     }
     return best;
@@ -103,7 +103,7 @@
         k = HO_MAX_HOLDERS;
     while (n_out < k && n_out < n) {
         int i = next_holder(nodes, score, n, picked, out, n_out);
-        picked[nodes[i].place]++;
+        picked[nodes[i].domain_index]++;
         out[n_out++] = i;
     }
     return n_out;
@@ -124,7 +124,7 @@
     }
 }
 
-bool ho_holds(const struct ho_node *nodes, int n, const char *group, int k, const char *self)
+bool ho_is_holder(const struct ho_node *nodes, int n, const char *group, int k, const char *self)
 {
     int out[HO_MAX_HOLDERS];
     if (k <= 0 || n <= k)
--- a/route/holders.h
+++ b/route/holders.h
@@ -26,7 +26,7 @@
     int carries; /* statements a second, route/capacity.h; 0: not told */
     /* by ho_prepare: */
     uint64_t hash; /* of the name */
-    int place;     /* number of the failure domain, below HO_DOMAINS */
+    int domain_index;     /* number of the failure domain, below HO_DOMAINS */
     bool strong;   /* it carries a good part of what the strongest node does */
 };
 
@@ -39,9 +39,9 @@
 int ho_pick(const struct ho_node *nodes, int n, const char *group, int k, int *out);
 /* How many of the nodes are strong, and what these carry together, statements a second; if none
  * tells what it carries, all are strong and that is 0. */
-int ho_strong(const struct ho_node *nodes, int n, int64_t *carry);
+int ho_count_strong(const struct ho_node *nodes, int n, int64_t *carry);
 /* Failure domains in which no node is strong. */
-int ho_domains_without_strong(const struct ho_node *nodes, int n);
+int ho_count_domains_without_strong(const struct ho_node *nodes, int n);
 /* Order `n` holders (indices into nodes) for an account of a group: rendezvous hashing once
  * more, so that an account's statements meet at the first of them, and at the same next one if
  * that is gone. `order` gets numbers in `holders`. */
@@ -49,6 +49,6 @@
               const char *account, int *order);
 /* Whether the node called `self` is one of them. With k <= 0, or no more than k nodes, all are.
  */
-bool ho_holds(const struct ho_node *nodes, int n, const char *group, int k, const char *self);
+bool ho_is_holder(const struct ho_node *nodes, int n, const char *group, int k, const char *self);
 
 #endif
--- a/route/route.c
+++ b/route/route.c
@@ -2,60 +2,61 @@
 
 #include <string.h>
 
-enum { LAG_WEIGHT = 8, SAMPLE_EVERY_US = 2000 };
+enum { LAG_SMOOTHING = 8, SAMPLE_INTERVAL_US = 2000 };
 
 static const struct rt_sample *sample(const struct rt_group *g, uint64_t k)
 {
-    return &g->samples[k % RT_SAMPLES];
+    return &g->samples[k % RT_MAX_SAMPLES];
 }
 
-static uint64_t oldest(const struct rt_group *g)
+static uint64_t oldest_sample(const struct rt_group *g)
 {
-    return g->n_samples > RT_SAMPLES ? g->n_samples - RT_SAMPLES : 0;
+    return g->n_samples > RT_MAX_SAMPLES ? g->n_samples - RT_MAX_SAMPLES : 0;
 }
 
-void rt_primary_at(struct rt_group *g, int64_t asked, struct ps_pos pos)
+void rt_record_primary_pos(struct rt_group *g, int64_t requested_at, struct ps_pos pos)
 {
     if (g->n_samples) {
         const struct rt_sample *last = sample(g, g->n_samples - 1);
-        if (asked < last->asked + SAMPLE_EVERY_US || ps_cmp(pos, last->pos) < 0)
+        if (requested_at < last->requested_at + SAMPLE_INTERVAL_US ||
+            ps_cmp(pos, last->pos) < 0)
             return;
     }
-    g->samples[g->n_samples++ % RT_SAMPLES] = (struct rt_sample){asked, pos};
+    g->samples[g->n_samples++ % RT_MAX_SAMPLES] = (struct rt_sample){requested_at, pos};
 }
 
 /* The newest sample that `applied` covers tells how far behind the replica is. */
 static int64_t lag_of(const struct rt_group *g, struct ps_pos applied, int64_t now)
 {
-    for (uint64_t k = g->n_samples; k > oldest(g); k--) {
+    for (uint64_t k = g->n_samples; k > oldest_sample(g); k--) {
         const struct rt_sample *s = sample(g, k - 1);
         if (!ps_covers(applied, s->pos, g->starts, g->n_starts))
             continue;
         if (k == g->n_samples)
             return 0; /* nothing newer is known to be missing */
-        return now - sample(g, k)->asked;
+        return now - sample(g, k)->requested_at;
     }
     return -1;
 }
 
-void rt_applied(struct rt_group *g, int i, struct ps_pos pos, int64_t now)
+void rt_record_applied(struct rt_group *g, int i, struct ps_pos pos, int64_t now)
 {
     struct rt_inst *r = &g->inst[i];
     int64_t lag = lag_of(g, pos, now);
     if (lag >= 0)
-        r->lag_us = r->lag_us < 0 ? lag : r->lag_us + (lag - r->lag_us) / LAG_WEIGHT;
+        r->lag_us = r->lag_us < 0 ? lag : r->lag_us + (lag - r->lag_us) / LAG_SMOOTHING;
     r->applied = pos;
-    r->seen_at = now;
+    r->applied_seen_at = now;
 }
 
 bool rt_age_floor(const struct rt_group *g, int64_t max_age_us, int64_t now,
                   struct ps_pos *floor)
 {
     int64_t from = now - max_age_us;
-    uint64_t lo = oldest(g), hi = g->n_samples;
+    uint64_t lo = oldest_sample(g), hi = g->n_samples;
     while (lo < hi) {
         uint64_t mid = (lo + hi) / 2;
-        if (sample(g, mid)->asked < from)
+        if (sample(g, mid)->requested_at < from)
             lo = mid + 1;
         else
             hi = mid;
@@ -68,7 +69,7 @@
 
 /* Whether `a` serves a read better than `b`: nearer, unless it is full and the other isn't;
  * then by load. */
-static bool better(const struct rt_inst *a, const struct rt_inst *b)
+static bool is_better(const struct rt_inst *a, const struct rt_inst *b)
 {
     bool a_full = a->in_flight >= a->limit, b_full = b->in_flight >= b->limit;
     if (a_full != b_full)
@@ -105,9 +106,9 @@
  * below it was asked for. 0 if no sample tells. */
 static int64_t reached_at(const struct rt_group *g, struct ps_pos floor)
 {
-    for (uint64_t k = g->n_samples; k > oldest(g); k--) {
+    for (uint64_t k = g->n_samples; k > oldest_sample(g); k--) {
         if (ps_cmp(sample(g, k - 1)->pos, floor) < 0)
-            return sample(g, k - 1)->asked;
+            return sample(g, k - 1)->requested_at;
     }
     return 0;
 }
@@ -138,14 +139,14 @@
         if (!ps_covers(r->applied, floor, g->starts, g->n_starts) &&
             !covers_soon(g, r, floor, wait_us, now))
             continue;
-        if (best < 0 || better(r, &g->inst[best]))
+        if (best < 0 || is_better(r, &g->inst[best]))
             best = i;
     }
     return best;
 }
 
-struct rt_choice rt_read(const struct rt_group *g, const struct rt_query *q, unsigned skip,
-                         int64_t now)
+struct rt_choice rt_choose_for_read(const struct rt_group *g, const struct rt_query *q,
+                                    unsigned skip, int64_t now)
 {
     struct ps_pos floor = {0}, age_floor = {0};
     bool by_age = q->max_age_us >= 0 && rt_age_floor(g, q->max_age_us, now, &age_floor);
--- a/route/route.h
+++ b/route/route.h
@@ -12,7 +12,7 @@
 #include "misc/err.h"
 #include "misc/pos.h"
 
-enum { RT_MAX = 7, RT_SAMPLES = 256 };
+enum { RT_MAX_INSTANCES = 7, RT_MAX_SAMPLES = 256 };
 
 /* What is known of one instance of a group. */
 struct rt_inst {
@@ -21,22 +21,22 @@
     int distance;  /* 0: this failure domain; 1: another; 2: another region */
     int in_flight, limit;
     struct ps_pos applied;
-    int64_t lag_us;  /* smoothed time behind the primary; -1 unknown */
-    int64_t seen_at; /* when `applied` was heard */
+    int64_t lag_us;          /* smoothed time behind the primary; -1 unknown */
+    int64_t applied_seen_at; /* when `applied` was heard */
 };
 
 /* A time at which the primary was asked, and the position it then had or passed. */
 struct rt_sample {
-    int64_t asked;
+    int64_t requested_at;
     struct ps_pos pos;
 };
 
 struct rt_group {
     int n, primary; /* primary: -1 none in force */
-    struct rt_inst inst[RT_MAX];
+    struct rt_inst inst[RT_MAX_INSTANCES];
     int n_starts;
     struct ps_start starts[16];
-    struct rt_sample samples[RT_SAMPLES]; /* ring, by asked */
+    struct rt_sample samples[RT_MAX_SAMPLES]; /* ring, by asked */
     uint64_t n_samples;
 };
 
@@ -56,9 +56,9 @@
 };
 
 /* The primary answered a position request that left at `asked`. */
-void rt_primary_at(struct rt_group *g, int64_t asked, struct ps_pos pos);
+void rt_record_primary_pos(struct rt_group *g, int64_t asked, struct ps_pos pos);
 /* An instance told its applied position. */
-void rt_applied(struct rt_group *g, int i, struct ps_pos pos, int64_t now);
+void rt_record_applied(struct rt_group *g, int i, struct ps_pos pos, int64_t now);
 /* The position a replica must have for its data to be at most max_age old now. False if the
  * primary was not asked within that time. */
 bool rt_age_floor(const struct rt_group *g, int64_t max_age_us, int64_t now,
@@ -67,7 +67,7 @@
  * domain is called "region/name", or "name" alone where there is one region. */
 int rt_distance(const char *a, const char *b);
 /* `skip`: bits of instances already tried. */
-struct rt_choice rt_read(const struct rt_group *g, const struct rt_query *q, unsigned skip,
-                         int64_t now);
+struct rt_choice rt_choose_for_read(const struct rt_group *g, const struct rt_query *q,
+                                    unsigned skip, int64_t now);
 
 #endif
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -32,23 +32,23 @@
 {
     struct rt_group g = three();
     struct rt_query q = token_at(90);
-    CU_ASSERT_EQUAL(rt_read(&g, &q, 0, 0).inst, 1); /* near and good enough */
+    CU_ASSERT_EQUAL(rt_choose_for_read(&g, &q, 0, 0).inst, 1); /* near and good enough */
     q = token_at(95);
-    struct rt_choice c = rt_read(&g, &q, 0, 0);
+    struct rt_choice c = rt_choose_for_read(&g, &q, 0, 0);
     CU_ASSERT_EQUAL(c.inst, 2);
     CU_ASSERT_EQUAL(c.min.pos, 95); /* the instance checks it again */
     q = token_at(101);
-    CU_ASSERT_EQUAL(rt_read(&g, &q, 0, 0).inst, 0);
+    CU_ASSERT_EQUAL(rt_choose_for_read(&g, &q, 0, 0).inst, 0);
 }
 
 static void without_token_or_age_the_primary(void)
 {
     struct rt_group g = three();
     struct rt_query q = {.max_age_us = -1};
-    struct rt_choice c = rt_read(&g, &q, 0, 0);
+    struct rt_choice c = rt_choose_for_read(&g, &q, 0, 0);
     CU_ASSERT(c.primary && c.inst == 0);
     g.primary = -1;
-    c = rt_read(&g, &q, 0, 0);
+    c = rt_choose_for_read(&g, &q, 0, 0);
     CU_ASSERT(c.inst == -1 && c.why == ER_NO_PRIMARY);
 }
 
@@ -58,9 +58,9 @@
     struct rt_group g = three();
     struct ps_pos floor;
     CU_ASSERT_FALSE(rt_age_floor(&g, CK_MS(500), CK_SEC(10), &floor));
-    rt_primary_at(&g, CK_MS(9000), (struct ps_pos){1, 80});
-    rt_primary_at(&g, CK_MS(9600), (struct ps_pos){1, 95});
-    rt_primary_at(&g, CK_MS(9900), (struct ps_pos){1, 100});
+    rt_record_primary_pos(&g, CK_MS(9000), (struct ps_pos){1, 80});
+    rt_record_primary_pos(&g, CK_MS(9600), (struct ps_pos){1, 95});
+    rt_record_primary_pos(&g, CK_MS(9900), (struct ps_pos){1, 100});
     CU_ASSERT_TRUE(rt_age_floor(&g, CK_MS(500), CK_SEC(10), &floor));
     CU_ASSERT_EQUAL(floor.pos, 95);
     CU_ASSERT_TRUE(rt_age_floor(&g, CK_MS(1000), CK_SEC(10), &floor));
@@ -72,10 +72,10 @@
 static void age_and_token_together(void)
 {
     struct rt_group g = three();
-    rt_primary_at(&g, CK_MS(9900), (struct ps_pos){1, 85});
+    rt_record_primary_pos(&g, CK_MS(9900), (struct ps_pos){1, 85});
     struct rt_query q = token_at(95);
     q.max_age_us = CK_MS(500);
-    struct rt_choice c = rt_read(&g, &q, 0, CK_SEC(10));
+    struct rt_choice c = rt_choose_for_read(&g, &q, 0, CK_SEC(10));
     CU_ASSERT_EQUAL(c.inst, 2);
     CU_ASSERT_EQUAL(c.min.pos, 95);
 }
@@ -83,12 +83,12 @@
 static void primary_gone_ages_run_out(void)
 {
     struct rt_group g = three();
-    rt_primary_at(&g, CK_MS(9900), (struct ps_pos){1, 90});
+    rt_record_primary_pos(&g, CK_MS(9900), (struct ps_pos){1, 90});
     g.primary = -1;
     g.inst[0].usable = false;
     struct rt_query q = {.max_age_us = CK_MS(500)};
-    CU_ASSERT_EQUAL(rt_read(&g, &q, 0, CK_SEC(10)).inst, 1);
-    struct rt_choice c = rt_read(&g, &q, 0, CK_SEC(11));
+    CU_ASSERT_EQUAL(rt_choose_for_read(&g, &q, 0, CK_SEC(10)).inst, 1);
+    struct rt_choice c = rt_choose_for_read(&g, &q, 0, CK_SEC(11));
     CU_ASSERT_EQUAL(c.inst, -1);
 }
 
@@ -97,8 +97,8 @@
     struct rt_group g = three();
     struct rt_query q = token_at(80);
     g.inst[1].draining = true;
-    CU_ASSERT_EQUAL(rt_read(&g, &q, 0, 0).inst, 2);
-    CU_ASSERT_EQUAL(rt_read(&g, &q, 1u << 2, 0).inst, 0);
+    CU_ASSERT_EQUAL(rt_choose_for_read(&g, &q, 0, 0).inst, 2);
+    CU_ASSERT_EQUAL(rt_choose_for_read(&g, &q, 1u << 2, 0).inst, 0);
 }
 
 static void full_near_replica_yields(void)
@@ -106,7 +106,7 @@
     struct rt_group g = three();
     struct rt_query q = token_at(80);
     g.inst[1].in_flight = 4;
-    CU_ASSERT_EQUAL(rt_read(&g, &q, 0, 0).inst, 2);
+    CU_ASSERT_EQUAL(rt_choose_for_read(&g, &q, 0, 0).inst, 2);
 }
 
 /* A nearly caught-up replica is waited for within the bound; a slow one is not. */
@@ -116,10 +116,10 @@
     struct rt_query q = token_at(101);
     q.max_wait_us = CK_MS(10);
     g.inst[2].lag_us = CK_MS(4);
-    struct rt_choice c = rt_read(&g, &q, 0, 0);
+    struct rt_choice c = rt_choose_for_read(&g, &q, 0, 0);
     CU_ASSERT(c.inst == 2 && c.wait_us == CK_MS(10));
     g.inst[2].lag_us = CK_MS(40);
-    CU_ASSERT_EQUAL(rt_read(&g, &q, 0, 0).inst, 0);
+    CU_ASSERT_EQUAL(rt_choose_for_read(&g, &q, 0, 0).inst, 0);
 }
 
 /* Near ones first: this domain, this region, then the rest. */
@@ -136,7 +136,7 @@
     struct rt_group g = three();
     struct rt_query q = token_at(90);
     g.inst[1].distance = 2;
-    CU_ASSERT_EQUAL(rt_read(&g, &q, 0, 0).inst, 2);
+    CU_ASSERT_EQUAL(rt_choose_for_read(&g, &q, 0, 0).inst, 2);
 }
 
 /* ---- holders ---- */
@@ -181,17 +181,17 @@
     for (int g = 0; g < GROUPS; g++) {
         char name[16];
         snprintf(name, sizeof(name), "db%d", g);
-        bool had = ho_holds(x, n, name, HOLD, x[n - 1].name);
+        bool had = ho_is_holder(x, n, name, HOLD, x[n - 1].name);
         for (int i = 0; i < n - 1; i++) {
-            bool before = ho_holds(x, n, name, HOLD, x[i].name);
-            bool after = ho_holds(x, n - 1, name, HOLD, x[i].name);
+            bool before = ho_is_holder(x, n, name, HOLD, x[i].name);
+            bool after = ho_is_holder(x, n - 1, name, HOLD, x[i].name);
             moved += before != after;
             CU_ASSERT(had || before == after || i % 3 == (n - 1) % 3);
         }
     }
     CU_ASSERT(moved <= GROUPS * HOLD / NODES * 2);
-    CU_ASSERT_TRUE(ho_holds(x, 3, "g", 5, "anybody")); /* fewer nodes than holders: all */
-    CU_ASSERT_TRUE(ho_holds(x, n, "g", 0, "anybody"));
+    CU_ASSERT_TRUE(ho_is_holder(x, 3, "g", 5, "anybody")); /* fewer nodes than holders: all */
+    CU_ASSERT_TRUE(ho_is_holder(x, n, "g", 0, "anybody"));
 }
 
 void route_suite(void)
--- a/tests/unit/test_spread.c
+++ b/tests/unit/test_spread.c
@@ -163,7 +163,7 @@
     int64_t carry;
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
         make_nodes(&l, seed, 83, 2, 89);
-        CU_ASSERT_EQUAL(ho_strong(l.nodes, l.n, &carry), 6);
+        CU_ASSERT_EQUAL(ho_count_strong(l.nodes, l.n, &carry), 6);
         CU_ASSERT_EQUAL(carry, 6 * 12 * 89);
         make_accounts(&l, seed, 1);
         place(&l, "g", 8);
@@ -176,7 +176,7 @@
         CU_ASSERT(in[0] >= 2 && in[1] >= 2 && in[2] >= 2);
     }
     make_nodes(&l, 1, 83, 2, 0); /* nobody says what it carries: all are alike */
-    CU_ASSERT_EQUAL(ho_strong(l.nodes, l.n, &carry), 83);
+    CU_ASSERT_EQUAL(ho_count_strong(l.nodes, l.n, &carry), 83);
     CU_ASSERT_EQUAL(carry, 0);
 }
 
@@ -204,8 +204,8 @@
         for (int i = 0; i < 30; i += 3)
             l.nodes[i].carries *= 12;
         ho_prepare(l.nodes, l.n);
-        CU_ASSERT_EQUAL(ho_strong(l.nodes, l.n, &carry), 10);
-        CU_ASSERT_EQUAL(ho_domains_without_strong(l.nodes, l.n), 2);
+        CU_ASSERT_EQUAL(ho_count_strong(l.nodes, l.n, &carry), 10);
+        CU_ASSERT_EQUAL(ho_count_domains_without_strong(l.nodes, l.n), 2);
         make_accounts(&l, seed, 1);
         place(&l, "g", 8);
         for (int i = 0; i < l.n_holders; i++)
@@ -216,13 +216,13 @@
 
 static void a_vm_carries_what_its_weaker_part_does(void)
 {
-    int weak = cp_statements(2000, 120), strong = cp_statements(100000, 320);
-    CU_ASSERT_EQUAL(weak, cp_statements(2000, 0));  /* its link binds */
-    CU_ASSERT_EQUAL(strong, cp_statements(0, 320)); /* its processor does */
+    int weak = cp_statements_per_s(2000, 120), strong = cp_statements_per_s(100000, 320);
+    CU_ASSERT_EQUAL(weak, cp_statements_per_s(2000, 0));  /* its link binds */
+    CU_ASSERT_EQUAL(strong, cp_statements_per_s(0, 320)); /* its processor does */
     CU_ASSERT(strong > weak * 10);
-    CU_ASSERT_EQUAL(cp_statements(0, 0), 0);
-    CU_ASSERT_EQUAL(cp_statements(5, 0), 1); /* told, however little */
-    CU_ASSERT_EQUAL(cp_statements(INT64_C(1) << 40, 0), CP_MOST);
+    CU_ASSERT_EQUAL(cp_statements_per_s(0, 0), 0);
+    CU_ASSERT_EQUAL(cp_statements_per_s(5, 0), 1); /* told, however little */
+    CU_ASSERT_EQUAL(cp_statements_per_s(INT64_C(1) << 40, 0), CP_MAX_STATEMENTS_PER_S);
 }
 
 void spread_suite(void)
--- a/wire/decode.c
+++ b/wire/decode.c
@@ -116,7 +116,7 @@
     h->role = (enum wr_role)get_max(r, WR_ROLE_OBSERVER);
     h->id = get_u(r);
     h->expect = get_u(r);
-    h->carries = get_max(r, CP_MOST);
+    h->carries = get_max(r, CP_MAX_STATEMENTS_PER_S);
     h->http = get_max(r, 65535);
 }
 
@@ -304,7 +304,7 @@
         m->nodes[i].domain = get_s(&one);
         m->nodes[i].ip = get_s(&one);
         m->nodes[i].port = get_max(&one, 65535);
-        m->nodes[i].carries = get_max(&one, CP_MOST);
+        m->nodes[i].carries = get_max(&one, CP_MAX_STATEMENTS_PER_S);
         r->bad = r->bad || one.bad || list.bad;
     }
 }
