--- a/bench/decisions.c
+++ b/bench/decisions.c
@@ -83,7 +83,7 @@
         uint64_t node = (uint64_t)(i % 12) + 1;
         sh_report(&t, "i", node, 1, i % 5, UINT64_MAX - 1, CK_SEC(100), 0);
         keep += sh_balance(&t, "i", 0);
-        keep += (uint64_t)sh_tell(&t, "i", node, 1);
+        keep += (uint64_t)sh_target_to_send(&t, "i", node, 1);
     }
 }
 
@@ -105,7 +105,7 @@
         uint64_t node = (uint64_t)(i % HOLDERS) + 1;
         snprintf(id, sizeof(id), "db%d", i * 7 % INSTANCES);
         keep += sh_report(&t, id, node, 1, 1, UINT64_MAX - 1, CK_SEC(100), 0);
-        keep += sh_untold(&t, id, node);
+        keep += sh_has_unsent_target(&t, id, node);
     }
 }
 
--- a/control/nodes.c
+++ b/control/nodes.c
@@ -153,11 +153,11 @@
     for (uint32_t i = 0; i < r->n; i++) {
         char id[VW_NAME];
         bool named = sr_copy(id, sizeof(id), r->shares[i].inst);
-        if (!named || (c->shares_told && !sh_untold(&n->shares, id, c->id)))
+        if (!named || (c->shares_told && !sh_has_unsent_target(&n->shares, id, c->id)))
             continue;
         s[k++] = (struct wr_share){
             .inst = r->shares[i].inst,
-            .held = (uint32_t)sh_tell(&n->shares, id, c->id, n->shares_seq + 1)};
+            .held = (uint32_t)sh_target_to_send(&n->shares, id, c->id, n->shares_seq + 1)};
     }
     if (k > 0 || permits > 0) {
         struct wr_msg m = {.type = WR_SHARES};
--- a/entry/link.c
+++ b/entry/link.c
@@ -71,7 +71,7 @@
             uint32_t has = (uint32_t)held(in), want = (uint32_t)wanted(in);
             if (!n->groups[g]->held)
                 want = 0;
-            if (sh_to_name(&in->named, has, want))
+            if (sh_name_in_renewal(&in->named, has, want))
                 shares[k++] = (struct wr_share){sr_from(in->cfg.id), has, want};
         }
     }
@@ -469,17 +469,17 @@
     l->open = true;
     rd_opened(&l->line);
     struct wr_msg m = {.type = WR_HELLO};
-    m.hello =
-        (struct wr_hello){.version = WR_VERSION,
-                          .cluster = sr_from(s->cluster),
-                          .name = sr_from(s->name),
-                          .domain = sr_from(s->domain),
-                          .ip = sr_from(s->entry_ip),
-                          .port = (uint32_t)callers_port(s),
-                          .role = s->observer ? WR_ROLE_OBSERVER : WR_ROLE_ENTRY,
-                          .id = l->node->id,
-                          .carries = (uint32_t)cp_statements_per_s(s->link_kbps, s->core_permille),
-                          .http = (uint32_t)s->entry_port};
+    m.hello = (struct wr_hello){
+        .version = WR_VERSION,
+        .cluster = sr_from(s->cluster),
+        .name = sr_from(s->name),
+        .domain = sr_from(s->domain),
+        .ip = sr_from(s->entry_ip),
+        .port = (uint32_t)callers_port(s),
+        .role = s->observer ? WR_ROLE_OBSERVER : WR_ROLE_ENTRY,
+        .id = l->node->id,
+        .carries = (uint32_t)cp_statements_per_s(s->link_kbps, s->core_permille),
+        .http = (uint32_t)s->entry_port};
     send_msg(l, &m);
 }
 
--- a/pool/shares.c
+++ b/pool/shares.c
@@ -7,12 +7,12 @@
 #include "misc/str.h"
 
 /* Leases that ran out are looked for at least this often. */
-#define EXPIRY_US CK_MS(500)
+#define EXPIRY_CHECK_US CK_MS(500)
 
-bool sh_to_name(int *left, uint32_t held, uint32_t want)
+bool sh_name_in_renewal(int *left, uint32_t held, uint32_t want)
 {
     if (held || want)
-        *left = SH_NAMED;
+        *left = SH_NAMED_RENEWALS;
     if (*left == 0)
         return false;
     (*left)--;
@@ -22,7 +22,7 @@
 void sh_begin(struct sh_table *t, int64_t quiet_until)
 {
     sh_free(t);
-    t->quiet_until = quiet_until;
+    t->no_grants_until = quiet_until;
 }
 
 void sh_free(struct sh_table *t)
@@ -36,12 +36,12 @@
 
 static struct sh_inst *find(struct sh_table *t, const char *id)
 {
-    if (t->last < t->n && strcmp(t->inst[t->last].id, id) == 0)
-        return &t->inst[t->last];
+    if (t->last_found < t->n && strcmp(t->inst[t->last_found].id, id) == 0)
+        return &t->inst[t->last_found];
     int i = ix_get(&t->by_id, id);
     if (i == IX_NONE)
         return NULL;
-    t->last = i;
+    t->last_found = i;
     return &t->inst[i];
 }
 
@@ -74,13 +74,13 @@
         ix_set(&t->by_id, in->id, (int)(in - t->inst));
 }
 
-static struct sh_node *node_of(struct sh_inst *in, uint64_t id, bool make)
+static struct sh_node *find_node(struct sh_inst *in, uint64_t id, bool create)
 {
     for (int i = 0; i < in->n; i++) {
         if (in->nodes[i].id == id)
             return &in->nodes[i];
     }
-    if (!make)
+    if (!create)
         return NULL;
     if (in->n == in->cap) {
         in->cap = in->cap ? in->cap * 2 : 16;
@@ -91,7 +91,7 @@
     return n;
 }
 
-static int sum(const struct sh_inst *in)
+static int sum_counted(const struct sh_inst *in)
 {
     int s = 0;
     for (int i = 0; i < in->n; i++)
@@ -102,7 +102,7 @@
 int sh_counted(const struct sh_table *t, const char *inst)
 {
     int i = ix_get(&t->by_id, inst);
-    return i == IX_NONE ? 0 : sum(&t->inst[i]);
+    return i == IX_NONE ? 0 : sum_counted(&t->inst[i]);
 }
 
 bool sh_report(struct sh_table *t, const char *inst, uint64_t node, int held, int want,
@@ -111,22 +111,22 @@
     struct sh_inst *in = find(t, inst);
     if (!in)
         return false;
-    struct sh_node *n = node_of(in, node, true);
+    struct sh_node *n = find_node(in, node, true);
     int counted = n->counted;
-    bool news = n->until == 0 || n->want != want || now >= in->next_expiry;
-    n->until = until;
+    bool may_change = n->lease_until == 0 || n->want != want || now >= in->next_expiry;
+    n->lease_until = until;
     n->want = want;
     if (held > n->counted) {
         /* It holds what an earlier leader dealt, or what was told it since. */
         n->counted = held;
-        if (now < t->quiet_until)
+        if (now < t->no_grants_until)
             n->target = held;
     }
-    if (seq >= n->told && held == 0 && want == 0)
+    if (seq >= n->sent_seq && held == 0 && want == 0)
         n->target = 0; /* it gave the instance up: another node may have it at once */
-    if (seq >= n->told)
+    if (seq >= n->sent_seq)
         n->counted = held > n->target ? held : n->target;
-    return news || n->counted != counted || n->counted < want;
+    return may_change || n->counted != counted || n->counted < want;
 }
 
 /* Nodes whose lease ran out keep one connection for a while, then none. */
@@ -134,9 +134,9 @@
 {
     for (int i = 0; i < in->n; i++) {
         struct sh_node *n = &in->nodes[i];
-        if (now < n->until)
+        if (now < n->lease_until)
             continue;
-        if (now >= n->until + forget_us) {
+        if (now >= n->lease_until + forget_us) {
             *n = in->nodes[--in->n];
             i--;
             continue;
@@ -157,7 +157,7 @@
         bool more = false;
         for (int i = 0; i < in->n; i++) {
             const struct sh_node *n = &in->nodes[i];
-            if (now >= n->until)
+            if (now >= n->lease_until)
                 continue;
             int want = n->want;
             need += want < level + 1 ? want : level + 1;
@@ -172,15 +172,15 @@
 
 /* What stays over the water level goes out one by one, first to those that hold one more
  * already, so that nothing is moved for nothing. */
-static void deal_remainder(struct sh_inst *in, int64_t now, int level, int room)
+static void distribute_remainder(struct sh_inst *in, int64_t now, int level, int room)
 {
     for (int held = 1; held >= 0 && room > 0; held--) {
         for (int i = 0; i < in->n && room > 0; i++) {
             struct sh_node *n = &in->nodes[i];
-            bool takes = now < n->until && !n->extra && n->want > level;
+            bool takes = now < n->lease_until && !n->gets_extra && n->want > level;
             if (!takes || (held && n->counted <= level))
                 continue;
-            n->extra = true;
+            n->gets_extra = true;
             room--;
         }
     }
@@ -189,57 +189,57 @@
 bool sh_balance(struct sh_table *t, const char *inst, int64_t now)
 {
     struct sh_inst *in = find(t, inst);
-    if (!in || now < t->quiet_until)
+    if (!in || now < t->no_grants_until)
         return false;
     expire(in, t->forget_us ? t->forget_us : SH_FORGET_US, now);
-    in->next_expiry = now + EXPIRY_US;
+    in->next_expiry = now + EXPIRY_CHECK_US;
     int room = in->limit - in->reserve;
     for (int i = 0; i < in->n; i++) {
-        if (now >= in->nodes[i].until)
+        if (now >= in->nodes[i].lease_until)
             room -= in->nodes[i].counted;
     }
     int left, level = water_level(in, now, room, &left);
-    int free_now = in->limit - in->reserve - sum(in);
-    deal_remainder(in, now, level, left);
+    int unassigned = in->limit - in->reserve - sum_counted(in);
+    distribute_remainder(in, now, level, left);
     bool changed = false;
     for (int i = 0; i < in->n; i++) {
         struct sh_node *n = &in->nodes[i];
-        if (now >= n->until)
+        if (now >= n->lease_until)
             continue;
         int want = n->want;
-        int next = want < level + n->extra ? want : level + n->extra;
-        n->extra = false;
+        int next = want < level + n->gets_extra ? want : level + n->gets_extra;
+        n->gets_extra = false;
         /* Growth only out of what nobody may hold now; shrinking is asked for at once. */
         int grow = next - n->counted;
-        if (grow > free_now)
-            next = n->counted + (free_now > 0 ? free_now : 0);
+        if (grow > unassigned)
+            next = n->counted + (unassigned > 0 ? unassigned : 0);
         if (next > n->counted) {
-            free_now -= next - n->counted;
+            unassigned -= next - n->counted;
             n->counted = next;
         }
         changed = changed || next != n->target;
         if (next != n->target)
-            n->told = UINT64_MAX; /* unconfirmed until it has been told */
+            n->sent_seq = UINT64_MAX; /* unconfirmed until it has been told */
         n->target = next;
     }
-    assert(sum(in) <= in->limit - in->reserve || free_now < 0);
+    assert(sum_counted(in) <= in->limit - in->reserve || unassigned < 0);
     return changed;
 }
 
-bool sh_untold(struct sh_table *t, const char *inst, uint64_t node)
+bool sh_has_unsent_target(struct sh_table *t, const char *inst, uint64_t node)
 {
     struct sh_inst *in = find(t, inst);
-    const struct sh_node *n = in ? node_of(in, node, false) : NULL;
-    return n && n->told == UINT64_MAX;
+    const struct sh_node *n = in ? find_node(in, node, false) : NULL;
+    return n && n->sent_seq == UINT64_MAX;
 }
 
-int sh_tell(struct sh_table *t, const char *inst, uint64_t node, uint64_t seq)
+int sh_target_to_send(struct sh_table *t, const char *inst, uint64_t node, uint64_t seq)
 {
     struct sh_inst *in = find(t, inst);
-    struct sh_node *n = in ? node_of(in, node, false) : NULL;
+    struct sh_node *n = in ? find_node(in, node, false) : NULL;
     if (!n)
         return 0;
-    if (n->told == UINT64_MAX)
-        n->told = seq;
+    if (n->sent_seq == UINT64_MAX)
+        n->sent_seq = seq;
     return n->target;
 }
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -91,7 +91,7 @@
         for (int i = 0; i < p->groups[g]->cfg.n && k < cap; i++) {
             struct px_inst *in = p->groups[g]->inst[i];
             add_want(in, &out[k]);
-            if (sh_to_name(&in->renewals_left, out[k].held, out[k].want))
+            if (sh_name_in_renewal(&in->renewals_left, out[k].held, out[k].want))
                 k++;
         }
     }
--- a/tests/unit/test_lease.c
+++ b/tests/unit/test_lease.c
@@ -93,7 +93,7 @@
     static uint64_t msg;
     sh_report(&t, "i", node, held, want, seq, now + LEASE, now);
     sh_balance(&t, "i", now);
-    return sh_tell(&t, "i", node, ++msg);
+    return sh_target_to_send(&t, "i", node, ++msg);
 }
 
 static void fresh(int64_t quiet_until)
@@ -178,15 +178,15 @@
 static void only_changes_are_told(void)
 {
     fresh(0);
-    CU_ASSERT_FALSE(sh_untold(&t, "i", 1));
+    CU_ASSERT_FALSE(sh_has_unsent_target(&t, "i", 1));
     sh_report(&t, "i", 1, 0, 5, 0, LEASE, 0);
     sh_balance(&t, "i", 0);
-    CU_ASSERT_TRUE(sh_untold(&t, "i", 1));
-    CU_ASSERT_EQUAL(sh_tell(&t, "i", 1, 1), 5);
-    CU_ASSERT_FALSE(sh_untold(&t, "i", 1));
+    CU_ASSERT_TRUE(sh_has_unsent_target(&t, "i", 1));
+    CU_ASSERT_EQUAL(sh_target_to_send(&t, "i", 1, 1), 5);
+    CU_ASSERT_FALSE(sh_has_unsent_target(&t, "i", 1));
     sh_report(&t, "i", 1, 5, 5, 1, LEASE, 0);
     sh_balance(&t, "i", 0);
-    CU_ASSERT_FALSE(sh_untold(&t, "i", 1));
+    CU_ASSERT_FALSE(sh_has_unsent_target(&t, "i", 1));
 }
 
 /* Random nodes that obey with delays, die and come back, and leaders that change: the truth,
@@ -253,8 +253,8 @@
             sh_report(&t, "i", x->id, x->cap, (int)rn_below(&rng, 30), x->applied,
                       now + LEASE * 101 / 100, now);
             sh_balance(&t, "i", now);
-            if (!x->told || sh_untold(&t, "i", x->id)) {
-                int cap = sh_tell(&t, "i", x->id, ++seq);
+            if (!x->told || sh_has_unsent_target(&t, "i", x->id)) {
+                int cap = sh_target_to_send(&t, "i", x->id, ++seq);
                 x->mail[x->n_mail].cap = cap;
                 x->mail[x->n_mail++].seq = seq;
                 x->told = true;
@@ -270,14 +270,14 @@
 static void what_was_given_up_is_named_a_few_times_more(void)
 {
     int left = 0, more = 0;
-    CU_ASSERT_FALSE(sh_to_name(&left, 0, 0)); /* never held */
-    CU_ASSERT_TRUE(sh_to_name(&left, 0, 1));
-    CU_ASSERT_TRUE(sh_to_name(&left, 1, 0));
-    while (more < 10 && sh_to_name(&left, 0, 0))
+    CU_ASSERT_FALSE(sh_name_in_renewal(&left, 0, 0)); /* never held */
+    CU_ASSERT_TRUE(sh_name_in_renewal(&left, 0, 1));
+    CU_ASSERT_TRUE(sh_name_in_renewal(&left, 1, 0));
+    while (more < 10 && sh_name_in_renewal(&left, 0, 0))
         more++;
     CU_ASSERT_EQUAL(more, 3);
-    CU_ASSERT_FALSE(sh_to_name(&left, 0, 0));
-    CU_ASSERT_TRUE(sh_to_name(&left, 1, 1));
+    CU_ASSERT_FALSE(sh_name_in_renewal(&left, 0, 0));
+    CU_ASSERT_TRUE(sh_name_in_renewal(&left, 1, 1));
 }
 
 void shares_suite(void)
