--- a/route/capacity.h
+++ b/route/capacity.h
@@ -7,7 +7,9 @@
 
 #include <stdint.h>
 
-enum { CP_MAX_STATEMENTS_PER_S = 10000000 }; /* statements a second that a node may say it serves, at most */
+enum {
+    CP_MAX_STATEMENTS_PER_S = 10000000
+}; /* statements a second that a node may say it serves, at most */
 
 /* Statements a second that a VM can serve for others beside its own work, by the weaker of its
  * link (kbit/s each way) and its processor (thousandths of a core); 0 of either: not told, the
--- a/route/holders.c
+++ b/route/holders.c
@@ -70,7 +70,7 @@
  * strong ones, then of the failure domain with fewest picked, then the one with the higher
  * score. */
 static bool ranks_before(const struct ho_node *nodes, const uint64_t *score, const int *picked,
-                        int i, int b)
+                         int i, int b)
 {
     int here = picked[nodes[i].domain_index], there = picked[nodes[b].domain_index];
     if ((here == 0) != (there == 0))
@@ -124,7 +124,8 @@
     }
 }
 
-bool ho_is_holder(const struct ho_node *nodes, int n, const char *group, int k, const char *self)
+bool ho_is_holder(const struct ho_node *nodes, int n, const char *group, int k,
+                  const char *self)
 {
     int out[HO_MAX_HOLDERS];
     if (k <= 0 || n <= k)
--- a/route/holders.h
+++ b/route/holders.h
@@ -25,9 +25,9 @@
     int port;
     int carries; /* statements a second, route/capacity.h; 0: not told */
     /* by ho_prepare: */
-    uint64_t hash; /* of the name */
-    int domain_index;     /* number of the failure domain, below HO_DOMAINS */
-    bool strong;   /* it carries a good part of what the strongest node does */
+    uint64_t hash;    /* of the name */
+    int domain_index; /* number of the failure domain, below HO_DOMAINS */
+    bool strong;      /* it carries a good part of what the strongest node does */
 };
 
 /* Once a list: what every pick from it needs. At the target a list has 460 nodes and 940 groups
@@ -49,6 +49,7 @@
               const char *account, int *order);
 /* Whether the node called `self` is one of them. With k <= 0, or no more than k nodes, all are.
  */
-bool ho_is_holder(const struct ho_node *nodes, int n, const char *group, int k, const char *self);
+bool ho_is_holder(const struct ho_node *nodes, int n, const char *group, int k,
+                  const char *self);
 
 #endif
