--- a/proxy/conn.c
+++ b/proxy/conn.c
@@ -1,17 +1,19 @@
-/* Connections to instances: one statement at a time, those of our own before the session's. */
+/* Connections to instances. Each carries one statement at a time; the proxy's own statements
+ * that prepare the connection precede the session's statement. */
 #include <stdio.h>
 #include <stdlib.h>
 
 #include "proxy/priv.h"
 
 enum {
-    GREETING_TIMEOUT_US = 1000000, /* an instance that does not greet by then is tried anew */
+    GREETING_TIMEOUT_US =
+        1000000, /* a connection without a greeting by then is closed and retried */
     ORPHAN_TIMEOUT_US =
-        400000, /* an answer that is later is taken for lost: its connection goes */
-    CONNECT_RETRY_US = 100000, /* after a connect that failed */
-    /* The instance has no connection free: others must close some. Soon asked again while dark
-     * connections of lost VMs may be what fills it: it drops them within 3 s (users' pages),
-     * and what is free then should not lie idle. */
+        400000,                /* a later answer counts as lost, and the connection is closed */
+    CONNECT_RETRY_US = 100000, /* after a failed connect */
+    /* The instance accepts no more connections until others close some. It is retried early
+     * while connections of lost VMs may be what fills it: it drops them within 3 s, and the
+     * freed ones should be used soon. */
     TOO_MANY_RETRY_US = 400000,
     TOO_MANY_EARLY_RETRY_US = 60000,
     STALE_CONNS_US = 3500000,
@@ -60,14 +62,14 @@
 {
     struct sr_buf text = {0};
     const struct px_prepared *prepared = prepared_to_execute(s);
-    /* A transaction saw the floor when it began. */
+    /* A transaction checked the floor when it began. */
     bool floor = s->has_floor && s->txn == PX_IDLE;
     struct px_msg m = {.kind = PX_STATEMENT,
                        .id = s->id,
                        .text = s->text,
                        .has_floor = floor,
                        .pos = s->floor};
-    if (prepared) { /* its name is ours here */
+    if (prepared) { /* the connection knows the statement by a name of the proxy */
         struct px_stmt st = s->stmt;
         st.name = sr_from(px_name_on(&c->applied, prepared));
         c->inst->p->cfg.codec->put_text(&text, &st);
@@ -87,7 +89,8 @@
     return ok;
 }
 
-/* The next of our own statements that the session's needs; false: none. */
+/* Sends the next statement of the proxy that the session's statement requires; false: none is
+ * left. */
 static bool send_setup(struct px_conn *c, struct px_session *s, bool *sent)
 {
     if (px_next_setup(&s->state, &c->applied, prepared_to_execute(s), c->setup_name,
@@ -150,7 +153,8 @@
 void px_conn_orphan(struct px_conn *c)
 {
     c->session = NULL;
-    /* What is out may or may not change what the connection has: it starts anew before use. */
+    /* The outstanding statement may or may not take effect, so the connection's settings are
+     * unknown and must be reset before use. */
     if (c->phase == PX_C_SETUP)
         c->applied.session = UINT64_MAX;
     if (c->phase == PX_C_IDLE_IN_TXN)
@@ -176,8 +180,8 @@
     c->inst->connect_failed_at = 0;
 }
 
-/* What the position of an answer tells: of the primary, what every commit acknowledged before
- * the question was sent lies below; of a replica, what it has. */
+/* Records the position of an answer. The primary's position covers every commit that was
+ * acknowledged before the statement was sent; a replica's says what it has applied. */
 static void note_position(struct px_conn *c)
 {
     struct px_inst *in = c->inst;
@@ -204,8 +208,8 @@
                                &c->inst->service_factor, us);
 }
 
-/* Of the answers, only those to reads tell of the instance: a write may fail by what it writes.
- * An answer that is lost counts against it whatever was asked. */
+/* Only answers to reads are evaluated, since a write may fail because of what it writes. A lost
+ * answer counts against the instance for any statement. */
 static void note_outcome(struct px_conn *c)
 {
     bool failed = c->error == ER_FAILED || c->error == ER_TIMEOUT;
@@ -235,9 +239,9 @@
     px_inst_serve_waiters(in);
 }
 
-/* What the session's statement needed first was refused. A BEGIN leaves the connection as it
- * was; after another the connection's state is not known, and with it goes the transaction that
- * may be open on it. */
+/* A statement of the proxy that prepares the session's one was refused. A BEGIN leaves the
+ * connection as it was. After any other statement the connection's state is unknown, so it is
+ * closed, and a transaction open on it is lost. */
 static void handle_setup_error(struct px_conn *c, struct px_session *s)
 {
     enum er_kind why = c->error;
@@ -268,20 +272,21 @@
     send_next(c);
 }
 
-/* An end without COMPLETE or ERROR: the answer broke off, and what ran is not known. */
+/* Whether the answer ended without COMPLETE or ERROR: it is incomplete, and it is not known
+ * what was executed. */
 static bool is_incomplete(const struct px_conn *c)
 {
     return c->phase != PX_C_OPENING && !c->complete_seen && c->error == ER_NONE;
 }
 
-/* A whole answer is there: its READY has come. */
+/* Handles the end of an answer, its READY. */
 static void handle_answer(struct px_conn *c)
 {
     if (is_incomplete(c)) {
         px_outlier_record(&c->inst->outlier, false, ck_now());
         FL_EVENT(&c->inst->p->log, LG_INFO, "answer_broke_off", "instance=%s group=%s",
                  c->inst->cfg.id, c->inst->group->cfg.name);
-        px_conn_close(c); /* its end is that of a lost answer */
+        px_conn_close(c); /* treated like the loss of the answer */
         return;
     }
     note_position(c);
@@ -309,14 +314,15 @@
         break;
     case PX_C_IDLE:
     case PX_C_IDLE_IN_TXN:
-        FL_WARN(&c->inst->p->log, "instance %s answered what was not asked; closing",
+        FL_WARN(&c->inst->p->log, "instance %s sent an unexpected answer; closing",
                 c->inst->cfg.id);
         px_conn_close(c);
         break;
     }
 }
 
-/* Nothing of an open connection's refusal is the session's: the next is opened later. */
+/* A connection was refused while opening. No session is affected; the next one is opened later.
+ */
 static void handle_open_error(struct px_conn *c, const struct px_msg *m)
 {
     struct px_inst *in = c->inst;
@@ -331,7 +337,8 @@
     in->next_open_at = now + (early  ? TOO_MANY_EARLY_RETRY_US
                               : full ? TOO_MANY_RETRY_US
                                      : CONNECT_RETRY_US);
-    if (early && open > 0 && px_has_accounts(in->p)) { /* they take turns on those */
+    if (early && open > 0 &&
+        px_has_accounts(in->p)) { /* accounts take turns on the open connections */
         px_saturation_refused(&in->saturation, &in->p->saturation, open, now);
         in->next_open_at = now;
     }
@@ -367,7 +374,7 @@
         handle_answer(c);
         break;
     default:
-        FL_WARN(&c->inst->p->log, "instance %s sent no message of the protocol; closing",
+        FL_WARN(&c->inst->p->log, "instance %s sent an invalid message; closing",
                 c->inst->cfg.id);
         px_conn_close(c);
     }
@@ -419,8 +426,9 @@
     free(c);
 }
 
-/* A connection that was not greeted tells that nobody is there. One that was good tells little:
- * an instance may reset it in place of an answer; a new one will tell. */
+/* Handles a connection that the instance closed. Without a greeting it counts as a failed
+ * connect. A connection that had been open proves little, since an instance may reset it in
+ * place of an answer; a new connection is to show whether the instance is alive. */
 static void handle_instance_close(struct px_conn *c, bool refused)
 {
     struct px_inst *in = c->inst;
--- a/proxy/conn_choice.c
+++ b/proxy/conn_choice.c
@@ -1,9 +1,9 @@
 #include "proxy/conn_choice.h"
 
 enum {
-    /* A statement whose account has a connection in use waits so long before another account's
-     * is closed for it. Origin: an opening takes 12 ms of a slot and two trips (users' pages),
-     * and statements of 3 to 15 ms give theirs back sooner. */
+    /* A statement whose account already has a connection waits this long before a connection of
+     * another account is closed for it: opening one takes 12 ms of an instance's slot and two
+     * round trips, while statements of 3 to 15 ms release their connection sooner. */
     REPLACE_AFTER_US = 20000,
 };
 
@@ -12,7 +12,7 @@
     if (v->idle)
         return PX_CHOICE_RUN;
     if (v->own_opening >= v->own_waiting)
-        return PX_CHOICE_WAIT; /* one is being opened for each that waits */
+        return PX_CHOICE_WAIT; /* a connection is being opened for each waiting statement */
     if (v->share_has_room)
         return PX_CHOICE_OPEN;
     bool may_replace = v->own_conns == 0 || v->waited_us > REPLACE_AFTER_US;
--- a/proxy/groups.c
+++ b/proxy/groups.c
@@ -1,22 +1,24 @@
-/* Groups and instances follow the view. */
+/* Groups and instances, updated from the view. */
 #include <stdlib.h>
 
 #include "proxy/priv.h"
 
 enum {
-    /* A planned change of primary waits so long for what runs at the old one. Transactions with
-     * pauses would hold up everybody else's writes; most end within it (users' pages). */
+    /* A planned change of primary waits this long for statements and transactions at the old
+     * primary. Transactions with pauses would block all other writes longer; most end within
+     * this time. */
     HANDOVER_WAIT_US = 600000,
-    /* The primary said that it is none: control learns it by its own probe within this. */
+    /* For this long an instance that refused the role of primary is not used as one: control
+     * detects the change by its own probe within this time. */
     PRIMARY_REFUSED_US = 60000,
-    /* Taken off an accepted age: clocks tick alike, but not exactly. */
+    /* Subtracted from an accepted age, since clocks run at slightly different rates. */
     CLOCK_MARGIN_US = 20000,
 };
 
 struct px_group *px_group(const struct px_proxy *p, const char *name)
 {
     int lo = 0, hi = p->n_groups;
-    while (lo < hi) { /* sorted like the view's */
+    while (lo < hi) { /* sorted like the groups of the view */
         int mid = (lo + hi) / 2;
         int c = strcmp(p->groups[mid]->cfg.name, name);
         if (c == 0)
@@ -60,7 +62,7 @@
            rt_age_floor(&g->rt, max_age_us - CLOCK_MARGIN_US, now, floor);
 }
 
-/* ---- following the view ---- */
+/* ---- updates from the view ---- */
 
 static struct px_inst *detach_inst(struct px_group *g, int n, const char *id)
 {
@@ -74,7 +76,8 @@
     return NULL;
 }
 
-/* At another address, or started again: what was known of it is void. */
+/* Whether the instance has another address or was restarted, so that its recorded state is
+ * void. */
 static bool was_replaced(const struct vw_instance *a, const struct vw_instance *b)
 {
     return strcmp(a->ip, b->ip) != 0 || a->port != b->port || a->born != b->born;
@@ -105,8 +108,8 @@
     memcpy(g->inst, next, sizeof(next));
 }
 
-/* Statements that wait for the group's primary, or at an instance that changed, go their way
- * anew in the next tick. */
+/* Parked statements of the group are routed again in the next tick: they may wait for its
+ * primary or for an instance that changed. */
 static void wake_parked(struct px_group *g)
 {
     for (struct px_session *s = g->p->active; s; s = s->next_active) {
@@ -129,7 +132,7 @@
         g->settle_deadline = v->phase == VW_HANDING ? ck_now() + HANDOVER_WAIT_US : 0;
         g->primary_refused_at = 0;
     }
-    if (new_term) /* positions of another branch tell nothing of this one */
+    if (new_term) /* positions on another branch of the log say nothing about this one */
         g->rt.n_samples = 0;
     wake_parked(g);
 }
@@ -151,7 +154,7 @@
         struct px_group *g = px_group(p, v->groups[i].name);
         next[i] = g ? g : group_new(p, &v->groups[i]);
     }
-    free(p->groups); /* groups are only added */
+    free(p->groups); /* groups are never removed */
     p->groups = next;
     p->n_groups = v->n;
     for (int i = 0; i < v->n; i++)
@@ -159,9 +162,9 @@
     px_update_holders(p);
 }
 
-/* ---- a planned change of primary ---- */
+/* ---- planned change of primary ---- */
 
-/* Whether a statement or a transaction that the primary serves is still open. */
+/* Whether a statement or transaction is still open at the primary. */
 static bool primary_has_work(const struct px_group *g)
 {
     const struct px_inst *in = g->cfg.primary >= 0 ? g->inst[g->cfg.primary] : NULL;
--- a/proxy/handover.c
+++ b/proxy/handover.c
@@ -1,13 +1,14 @@
 #include "proxy/handover.h"
 
 enum {
-    /* It has to last so long. Origin: replicas are tens of milliseconds behind in calm times,
-     * and callers that a full primary refuses lose more in a second than by the change of
-     * primary, 0.4 to 0.8 s (docs/design/platform.md). */
+    /* The conditions must hold for this long: replicas are normally tens of milliseconds
+     * behind, and callers refused by an overloaded primary lose more in a second than by the
+     * change of primary, which takes 0.4 to 0.8 s. */
     CONDITION_MIN_US = 500000,
-    REFUSAL_RECENT_US = 700000, /* callers are refused now: the last refusal is no older */
-    /* A primary leads at least so long: what made the last one hand over may not have been its
-     * replicas. */
+    REFUSAL_RECENT_US =
+        700000, /* a refusal no older than this means that callers are refused now */
+    /* A primary keeps its role for at least this long: the cause of the last handover may not
+     * have been its replicas. */
     MIN_TERM_US = 8000000,
 };
 
--- a/proxy/holders.c
+++ b/proxy/holders.c
@@ -1,33 +1,34 @@
-/* Which entry nodes hold connections to a group's instances, where an instance accepts fewer
- * connections than there are nodes; sessions elsewhere are relayed to one of them (relay.c).
+/* Decides which entry nodes hold connections to a group's instances if an instance accepts
+ * fewer connections than there are nodes. Sessions at other nodes are relayed to a holder
+ * (relay.c).
  *
- * Where all nodes hold a group, a few of them connect first. After all VMs have lost power an
- * instance keeps their dark connections for seconds, and only its reserve is free: taken by
- * whoever comes first it would serve the callers of a few nodes; taken by these few, one in
- * each failure domain, it serves the sessions of all, which are relayed to them until the other
- * nodes get connections of their own. */
+ * Where all nodes hold a group, a few of them connect first. After a loss of power of all VMs,
+ * an instance keeps their dead connections for seconds, and only its reserve is free. If the
+ * first nodes to arrive took the reserve, it would serve the callers of a few nodes; taken by
+ * these few, one in each failure domain, it serves the sessions of all nodes, which are relayed
+ * to them until the other nodes get connections of their own. */
 #include <stdlib.h>
 
 #include "proxy/priv.h"
 
 enum {
-    CONNS_PER_HOLDER =
-        4, /* connections to an instance, at least, for each node that holds it */
-    /* Where connections belong to accounts, a holder serves all of its accounts on them. */
+    CONNS_PER_HOLDER = 4, /* minimum connections to an instance for each of its holders */
+    /* Where connections belong to accounts, a holder serves all of its accounts on these. */
     CONNS_PER_HOLDER_WITH_ACCOUNTS = 4,
-    MIN_HOLDERS = 3,              /* nodes, however few the connections */
-    STATEMENTS_PER_OPERATION = 2, /* a transaction has several, most operations one */
-    /* All nodes hold a group where each may have so many connections to an instance, or where
-     * they are no more than the holders that a group has at most. With one each it was worse
-     * than with holders: of 300 nodes 184 were cut off from control, the 117 that were left
-     * took to holding all 60 instances of 131 connections, and in half a second 2,000
+    MIN_HOLDERS = 3,              /* even if an instance accepts few connections */
+    STATEMENTS_PER_OPERATION = 2, /* a transaction has several, most operations have one */
+    /* All nodes hold a group if each may have this many connections to an instance, or if there
+     * are no more nodes than a group may have holders. With one connection each the result was
+     * worse than with holders: 184 of 300 nodes were disconnected from control, the other 117
+     * began to hold all 60 instances of 131 connections, and within half a second 2,000
      * connections were refused as too many and 600 statements as busy. */
     CONNS_PER_NODE = 3,
-    /* So long a node that starts waits for the list of nodes. Holding everything meanwhile, 300
-     * nodes that come back together asked for 18,000 connections to 60 instances and opened
-     * those that were free, 12 ms of an instance's slot each; the nodes that do hold a group
-     * were refused then. Origin: the list comes within 0.5 s where 300 nodes start together, at
-     * once where others run already; a new leader that misses a node tells after a lease. */
+    /* A starting node waits this long for the list of nodes. When 300 nodes that started
+     * together held all groups meanwhile, they requested 18,000 connections to 60 instances and
+     * opened those that were free, each taking 12 ms of an instance's slot, and the instances
+     * then refused the actual holders. The list arrives within 0.5 s if 300 nodes start
+     * together, and at once if others run already; a new leader that misses a node reports it
+     * after a lease. */
     NODE_LIST_WAIT_US = 1000000,
 };
 
@@ -51,7 +52,8 @@
     return k < MIN_HOLDERS ? MIN_HOLDERS : k > HO_MAX_HOLDERS ? HO_MAX_HOLDERS : k;
 }
 
-/* Operations a second that the document's accounts may ask for together; 0: not told of all. */
+/* Operations per second that the limits of all accounts allow together; 0: an account has no
+ * limit. */
 static double declared_rate(const struct ac_table *t)
 {
     double sum = 0;
@@ -63,16 +65,16 @@
     return sum;
 }
 
-/* Whether the strong nodes carry what all accounts may ask for: then weak ones, whose links
- * would be full with a few accounts, hold nothing. */
+/* Whether the strong nodes can carry what all accounts may request. Then weak nodes, whose
+ * links would be saturated by a few accounts, hold no group. */
 static bool strong_suffice(const struct px_proxy *p, int n_strong, int64_t carry)
 {
     double asked = declared_rate(&p->catalog.accounts) * STATEMENTS_PER_OPERATION;
     return n_strong >= MIN_HOLDERS && asked > 0 && (double)carry >= asked;
 }
 
-/* So many that each has a few connections; if the strong nodes suffice, only these, and one in
- * each failure domain that has none of them. */
+/* The number of holders such that each has a few connections. If the strong nodes suffice, only
+ * these, and one in each failure domain without a strong node. */
 static int holders_for_accounts(const struct px_proxy *p, int conns)
 {
     int64_t carry;
@@ -82,7 +84,7 @@
     return least < k && strong_suffice(p, n_strong, carry) ? least : k;
 }
 
-/* 0: all of them; else so many that each has a few connections. */
+/* The number of holders such that each has a few connections; 0: all nodes. */
 static int holders_of(const struct px_proxy *p, const struct px_group *g)
 {
     const struct cg_service *svc = cg_service(&p->catalog, g->cfg.name);
@@ -125,7 +127,7 @@
         px_update_holders(p);
 }
 
-/* ---- accounts' places ---- */
+/* ---- placement of accounts ---- */
 
 static void place_accounts(struct px_group *g)
 {
@@ -152,7 +154,7 @@
     return &g->placements[a - t->accounts];
 }
 
-/* Move entry `from` of the list to place `to`, in front of it. */
+/* Moves entry `from` of the list forward to index `to`. */
 static void move_forward(int *list, int from, int to)
 {
     int x = list[from];
@@ -190,7 +192,7 @@
     return n == 0;
 }
 
-/* ---- */
+/* ---- other interfaces ---- */
 
 bool px_reaches_primary(const struct px_group *g)
 {
--- a/proxy/neighbor.c
+++ b/proxy/neighbor.c
@@ -1,20 +1,22 @@
 #include "proxy/neighbor.h"
 
 enum {
-    /* Silence while something is asked before a trial: what a caller in a hurry waits for its
-     * whole operation. */
+    /* A pending request that is unanswered for this long causes a trial. Callers with short
+     * deadlines wait about this long for a whole operation. */
     DOUBT_AFTER_US = 150000,
-    /* For the trial's answer: both together leave a caller with a second's time another try. */
+    /* Timeout of a trial. Together with DOUBT_AFTER_US it leaves a caller with a deadline of
+     * one second time for another try. */
     TRIAL_TIMEOUT_US = 200000,
     MIN_TRIAL_PAUSE_US = 250000,
     MAX_TRIAL_PAUSE_US = 2000000,
-    FLAP_US = 5000000, /* silent again within: the pause goes on growing */
+    FLAP_US =
+        5000000, /* silent again within this time after recovering: the pause keeps growing */
 };
 
 void nb_received(struct nb_neighbor *n, int64_t now)
 {
     if (n->state == NB_SILENT)
-        return; /* what was on its way; a trial tells */
+        return; /* these bytes may have been in flight; only a trial decides */
     n->last_received = now;
     n->state = NB_GOOD;
 }
@@ -72,7 +74,7 @@
         return;
     }
     if (n->state == NB_GOOD)
-        return; /* it was heard meanwhile */
+        return; /* bytes arrived from it in the meantime */
     bool first_failure =
         n->state == NB_DOUBTED && (!n->recovered_at || now - n->recovered_at > FLAP_US);
     n->trial_pause_us = first_failure ? MIN_TRIAL_PAUSE_US : next_pause(n->trial_pause_us);
--- a/proxy/neighbors.c
+++ b/proxy/neighbors.c
@@ -1,6 +1,6 @@
-/* The other entry nodes that this one relays to, and its trials of those that are silent: a
- * connection that asks for a greeting, as a relayed session does. What is believed is decided
- * at neighbor.c. */
+/* The other entry nodes that this one relays to, and trials of those that are silent. A trial
+ * is a connection that opens a session as a relay does and waits for the greeting. neighbor.c
+ * decides the state of a node. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -76,7 +76,8 @@
 
 /* ---- trials ---- */
 
-/* It may be this node that is cut off: the others are tried before they are asked. */
+/* This node itself may be disconnected, so the other neighbors are tried before sessions rely
+ * on them. */
 static void doubt_others(struct px_proxy *p)
 {
     for (struct px_neighbor *nb = p->neighbors; nb; nb = nb->next) {
@@ -92,7 +93,7 @@
     if (before == NB_DOUBTED && !answered)
         doubt_others(nb->p);
     if (nb->status.state == before || (before == NB_DOUBTED && answered))
-        return; /* a doubt that was none */
+        return; /* the doubt was unfounded */
     FL_EVENT(&nb->p->log, LG_INFO, "neighbor_changed", "name=%s state=%s was=%s relayed=%d",
              nb->name, state_names[nb->status.state], state_names[before], nb->n_relays);
 }
@@ -104,7 +105,7 @@
     px_relay_hello(nb->p, net, nb->database, nb->key, PX_HELLO_TRIAL);
 }
 
-/* Whatever it says, its process runs. */
+/* Any message shows that the node's process runs. */
 static void on_message(struct nt_conn *net, void *ud, const char *data, size_t len)
 {
     struct px_neighbor *nb = ud;
@@ -115,7 +116,7 @@
     nt_forget(net);
 }
 
-/* Closed before a greeting: it is there if it was reached. */
+/* Closed before a greeting: the node is alive if the connection was opened. */
 static void on_close(struct nt_conn *net, void *ud, bool opened, bool refused)
 {
     struct px_neighbor *nb = ud;
--- a/proxy/outlier.c
+++ b/proxy/outlier.c
@@ -2,23 +2,24 @@
 
 #include <math.h>
 
-/* Weights halve in so long. Origin: a node at an instance asks it a few times a second on the
- * grown deployments (13 holders a group), so that some ten answers count. */
+/* Weights halve in this time. A node sends an instance a few statements a second with 13
+ * holders per group, so that about ten results count. */
 enum { HALF_LIFE_US = 2000000 };
 
-/* Failing is a weight of failures of LEAST_BAD at least that is above FAILING_RATE of all.
- * Origin: an instance that loses one answer in forty (the users' pages) or refuses while it is
- * restarted stays below both; one that fails two in five is found within some ten answers. */
+/* An instance is failing if its failures weigh at least MIN_FAILURES and are more than
+ * MAX_FAILURE_RATE of all results. An instance that loses one answer in forty, or refuses while
+ * it restarts, stays below both; one that fails two in five is detected within some ten
+ * results. */
 #define MIN_FAILURES 2.0
 #define MAX_FAILURE_RATE 0.2
-/* The weight of answers without which an instance is not known to be sound. */
+/* Successes without which an instance is not known to be sound. */
 #define MIN_SUCCESSES 2.0
-/* The most that all weights add up to: a busy past is soon forgotten. */
+/* Limit of the sum of all weights, so that a busy past loses its effect soon. */
 #define MAX_WEIGHT 40.0
-/* The weight of answers that an instance is credited with when its rate is asked for. */
+/* Successes added to the counted ones in px_outlier_failure_rate. */
 #define PRIOR_SUCCESSES 2.0
 
-/* What a count of o->at weighs now. */
+/* The factor by which weights have decayed since o->updated_at. */
 static double decay(const struct px_outlier *o, int64_t now)
 {
     return exp2(-(double)(now - o->updated_at) / HALF_LIFE_US);
--- a/proxy/outlier.h
+++ b/proxy/outlier.h
@@ -1,8 +1,8 @@
-/* Whether an instance fails much of what this node asks of it while its connections are good.
+/* Detects instances that fail many statements while their connections work. Pure; called by
+ * conn.c, pool.c and work.c.
  *
- * Pure: the time comes in. Answers and failures are counted with a weight that halves every two
- * seconds, so an instance that is asked no more is trusted again and shows anew what it does.
- */
+ * Answers and failures are counted with a weight that halves every two seconds, so an instance
+ * that gets no more statements is trusted again, and its next answers decide anew. */
 #ifndef FL_PROXY_OUTLIER_H
 #define FL_PROXY_OUTLIER_H
 
@@ -10,17 +10,21 @@
 #include <stdint.h>
 
 struct px_outlier {
-    double good, bad;   /* weighted, as of `at` */
-    int64_t updated_at; /* in the runtime's clock */
+    double good, bad;   /* weighted counts, as of `updated_at` */
+    int64_t updated_at; /* by ck_now */
 };
 
-/* A read was answered (good); or a read failed, or the answer to any statement was lost. */
+/* Records a result: good for a read that was answered; not good for a read that failed, or for
+ * any statement whose answer was lost. */
 void px_outlier_record(struct px_outlier *o, bool good, int64_t now);
-/* Which part of the reads fails, 0 to 1; a few failures alone say little. */
+/* Failure rate, 0 to 1, with credit for a few successes, so that a few failures alone have
+ * little effect. */
 double px_outlier_failure_rate(const struct px_outlier *o, int64_t now);
-/* Two failures at least count now, and they are more than a fifth of all that counts. */
+/* Whether failures have a weight of at least two now and are more than a fifth of all results.
+ */
 bool px_outlier_failing(const struct px_outlier *o, int64_t now);
-/* Two answers at least count now, and it is not failing. Neither: too little is known. */
+/* Whether successes have a weight of at least two now and the instance is not failing. If
+ * neither px_outlier_failing nor this holds, too little is known. */
 bool px_outlier_sound(const struct px_outlier *o, int64_t now);
 
 #endif
--- a/proxy/pool.c
+++ b/proxy/pool.c
@@ -1,25 +1,29 @@
-/* Instances and this node's connections to them, within its share. */
+/* Instances and this node's connections to them, within its share: waiting sessions, suspicions
+ * and health of instances. */
 #include <stdlib.h>
 
 #include "proxy/priv.h"
 
 enum {
-    FIRST_SERVICE_US = 15000,       /* what a statement takes before any was measured */
-    SUSPICION_INTERVAL_US = 100000, /* an instance is reported again at the earliest */
-    LOST_SERVICE_TIMES =
-        5, /* a statement out for so many service times has probably lost its answer */
+    FIRST_SERVICE_US = 15000,       /* service time assumed before any was measured */
+    SUSPICION_INTERVAL_US = 100000, /* minimum interval between two reports about an instance */
+    LOST_SERVICE_TIMES = 5, /* a statement outstanding for this many service times has probably
+                               lost its answer */
     NO_ANSWER_US =
-        300000, /* a statement without an answer for so long, and nothing else heard */
-    NO_GREETING_US = 400000,            /* a connection that is not greeted for so long */
-    SHARE_REQUEST_INTERVAL_US = 100000, /* a share is asked for out of turn at most so often */
-    HEALTH_FRESH_US = 400000,           /* an instance heard within this is taken for well */
-    /* An instance that fails alone is reported after this. Origin: by then each of its group
-     * has been asked often enough to tell. */
+        300000, /* a statement unanswered for this long while nothing else was received */
+    NO_GREETING_US = 400000, /* a connection without a greeting for this long */
+    SHARE_REQUEST_INTERVAL_US =
+        100000, /* minimum interval between requests for a share outside of regular renewals */
+    HEALTH_FRESH_US = 400000, /* an instance from which something was received within this time
+                                 counts as healthy */
+    /* An instance that fails while others of its group do not is reported after this time, when
+     * each of the group has had enough statements to tell. */
     OUTLIER_CONFIRM_US = 1000000,
-    /* Where all nodes connect at once, those that relay for the others come first by this.
-     * Origin: leases of nodes that start together are granted within some 50 ms. */
+    /* If all nodes connect at once, those that serve the sessions relayed by the others connect
+     * earlier by this. Leases of nodes that start together are granted within some 50 ms. */
     FIRST_CONN_DELAY_US = 100000,
-    /* A lagging replica is asked anew after 250 ms, if reads come. */
+    /* A replica counts as behind if it lacked a position and served no read within this time.
+     * It is retried 250 ms after it lacked a position, if there are reads. */
     BEHIND_RECENT_US = 500000,
 };
 
@@ -46,7 +50,7 @@
 void px_inst_want_first_conn(struct px_inst *in, int64_t now)
 {
     if (in->n_conns > 0 || in->share == 0 || in->wants_first_conn || px_has_accounts(in->p))
-        return; /* whose account will be asked for first is not known */
+        return; /* the account of the first statement is not known */
     in->wants_first_conn = true;
     if (!in->group->connects_first && in->next_open_at < now + FIRST_CONN_DELAY_US)
         in->next_open_at = now + FIRST_CONN_DELAY_US;
@@ -63,7 +67,7 @@
     if (now - in->share_requested_at < SHARE_REQUEST_INTERVAL_US)
         return;
     in->share_requested_at = now;
-    in->p->news = true; /* with a renewal of its own */
+    in->p->news = true; /* causes an extra renewal */
 }
 
 static struct px_conn *idle_conn(const struct px_inst *in, const struct px_session *s)
@@ -73,7 +77,7 @@
     for (struct px_conn *c = in->conns; c; c = c->next) {
         if (c->phase != PX_C_IDLE || c->closing || strcmp(c->account, s->account) != 0)
             continue;
-        /* Its own values first, then a connection that has none. */
+        /* A connection with the session's values is preferred, then one without any. */
         int rank = c->applied.session == s->state.session ? 0 : c->applied.session ? 2 : 1;
         if (rank < best_rank) {
             best = c;
@@ -99,9 +103,9 @@
 
 /* ---- waiting for a connection ---- */
 
-/* By the time until they are late, so that what may wait longer does: with the order of arrival
- * alone, long reads that have twice the time were served before short ones that then were late.
- */
+/* Sorts by priority, then by the time at which a session's target is missed, so that sessions
+ * that can wait longer do. In order of arrival, long reads with twice the target were served
+ * before short ones, which then missed theirs. */
 static bool goes_before(const struct px_session *a, const struct px_session *b)
 {
     if (a->route.priority != b->route.priority)
@@ -149,8 +153,8 @@
     return k;
 }
 
-/* One that is out for far longer than statements take has probably lost its answer: it does not
- * hold up the others. */
+/* A statement that is outstanding for much longer than statements take has probably lost its
+ * answer and must not block the others. */
 int px_inst_running(const struct px_inst *in)
 {
     int64_t since = px_heard(in->p) - in->service_us * LOST_SERVICE_TIMES;
@@ -164,7 +168,8 @@
 
 /* ---- connections of accounts ---- */
 
-/* Idle connections of the account; the list is short, a share of an instance's. */
+/* The number of idle connections of the account. The list is short: the node's share of an
+ * instance. */
 static int count_idle_of(const struct px_inst *in, const char *account)
 {
     int k = 0;
@@ -173,7 +178,7 @@
     return k;
 }
 
-/* Whether somebody waits for a connection of that account. */
+/* Whether a session waits for a connection of that account. */
 static bool has_waiter_of(const struct px_inst *in, const char *account)
 {
     for (const struct px_session *s = in->waiters; s; s = s->wait_next) {
@@ -183,10 +188,10 @@
     return false;
 }
 
-/* The connection that goes if another account needs one; NULL: none can. */
+/* The connection to close if another account needs one; NULL: none may be closed. */
 static struct px_conn *replaceable_conn(const struct px_inst *in, const char *account)
 {
-    enum { LOOKED_AT = 64 }; /* a node's share of an instance's connections is below that */
+    enum { LOOKED_AT = 64 }; /* a node's share of an instance's connections is smaller */
     struct px_spare spare[LOOKED_AT];
     struct px_conn *conns[LOOKED_AT];
     int n = 0;
@@ -201,7 +206,7 @@
     return i < 0 ? NULL : conns[i];
 }
 
-/* What the node has there, as seen for a statement that waits. */
+/* The node's connections at the instance, as seen for a waiting session. */
 static struct px_choice_view choice_view(const struct px_inst *in, const struct px_session *s,
                                          int64_t now)
 {
@@ -223,7 +228,8 @@
     return v;
 }
 
-/* Connections that are on their way out make room soon: one for each that waits for it. */
+/* The number of connections that are being closed, each of which makes room for one waiting
+ * session soon. */
 static int count_closing(const struct px_inst *in)
 {
     int k = 0;
@@ -236,16 +242,16 @@
 {
     struct px_conn *c = replaceable_conn(in, account);
     if (!c || count_closing(in) > count_opening(in))
-        return; /* the last one that was closed is not used yet */
+        return; /* the room of the last closed connection is not used yet */
     in->replaced++;
     in->p->c.replaced++;
     px_conn_close(c);
 }
 
-/* A connection that is being opened takes an instance's slot for as long as a statement, so it
- * counts as one in the window. Sixteen nodes that each opened eight at once after a loss of all
- * power filled an instance's queue with them, and 1,300 statements in 0.2 s were refused as
- * busy. Of those that wait the first that needs a connection gets it. */
+/* Opens a connection for the first waiting session that needs one. A connection that is being
+ * opened takes a slot of the instance for as long as a statement, so it counts as one in the
+ * window. When sixteen nodes opened eight each at once after a loss of all power, they filled
+ * an instance's queue, and 1,300 statements in 0.2 s were refused as busy. */
 static void open_for_waiters(struct px_inst *in, int64_t now)
 {
     int out = count_opening(in);
@@ -277,7 +283,7 @@
     open_for_waiters(in, ck_now());
 }
 
-/* The first of those that wait of whose account a connection is idle. */
+/* The first waiting session whose account has an idle connection, and that connection in *c. */
 static struct px_session *next_to_serve(const struct px_inst *in, struct px_conn **c)
 {
     for (struct px_session *s = in->waiters; s; s = s->wait_next) {
@@ -319,8 +325,8 @@
     in->p->cfg.host.suspect(in->p->cfg.host.ud, in->cfg.id, health);
 }
 
-/* Something is out, for long, and nothing was heard meanwhile: an answer that was lost, or an
- * instance that is gone. A new connection tells. */
+/* Whether a statement has been outstanding for long while nothing was received: its answer was
+ * lost, or the instance is down. A new connection is opened to find out. */
 static bool has_unanswered(const struct px_inst *in)
 {
     int64_t heard = px_heard(in->p);
@@ -332,7 +338,7 @@
     return false;
 }
 
-/* A connection is not greeted: nobody is there, or can be reached. */
+/* Whether a connection has no greeting in time: the instance is down or unreachable. */
 static bool has_no_greeting(const struct px_inst *in)
 {
     int64_t heard = px_heard(in->p);
@@ -344,8 +350,8 @@
     return false;
 }
 
-/* It fails much while another of its group does not: what fails everywhere is no reason to
- * change anything. */
+/* Whether the instance fails while another of its group works. If all fail, replacing one would
+ * not help. */
 static bool is_outlier(const struct px_inst *in, int64_t now)
 {
     const struct px_group *g = in->group;
@@ -367,7 +373,8 @@
         in->outlier_since = now;
 }
 
-/* It has failed alone for so long that others, if they fail as well, would have shown it. */
+/* Whether the instance has been an outlier for long enough that other failing instances would
+ * have been noticed. */
 static bool is_confirmed_outlier(const struct px_inst *in)
 {
     return in->outlier_since && px_heard(in->p) - in->outlier_since > OUTLIER_CONFIRM_US;
@@ -392,7 +399,7 @@
     return v;
 }
 
-/* The group's primary serves alone, and callers are refused for it. */
+/* Whether the group's primary serves alone and callers are refused because of that. */
 static bool needs_handover(struct px_inst *in)
 {
     struct px_handover_view v = handover_view(in->group);
@@ -418,7 +425,7 @@
     if (in->wants_handover)
         return WR_UNFIT;
     if (px_outlier_failing(&in->outlier, now))
-        return WR_UNKNOWN; /* no better one is known */
+        return WR_UNKNOWN; /* no other instance of the group is known to work */
     if (is_sole_server(in))
         return WR_UNKNOWN;
     return now - in->last_received < HEALTH_FRESH_US ? WR_OK : WR_UNKNOWN;
@@ -426,7 +433,8 @@
 
 /* ---- time ---- */
 
-/* Above the share: idle ones go first. An instance that leaves keeps none. */
+/* Closes idle connections beyond the share; all of them if the instance drains or was removed.
+ */
 static void close_excess(struct px_inst *in)
 {
     int keep = in->cfg.draining || in->removed ? 0 : in->share;
@@ -448,7 +456,8 @@
     open_for_waiters(in, now);
     if (in->wants_first_conn && in->n_conns == 0 && px_inst_has_room(in, now))
         px_conn_open(in, in->p->cfg.name);
-    /* One more than the share, to learn whether it is there: refused, it is. */
+    /* This connection may exceed the share by one. It only shows whether the instance is alive;
+     * a refusal shows that as well. */
     bool ask = in->wants_probe || has_unanswered(in);
     in->wants_probe = false;
     if (ask && count_opening(in) == 0 && now >= in->next_open_at && !in->removed)
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -28,43 +28,43 @@
 struct px_inst;
 struct px_group;
 
-/* What a connection to an instance is at. */
+/* The phase of a connection to an instance. */
 enum px_conn_phase {
     PX_C_OPENING,
     PX_C_IDLE,
-    PX_C_SETUP,        /* a statement of our own is out, for the session's next one */
-    PX_C_RUNNING,      /* the session's statement is out */
+    PX_C_SETUP,   /* a statement of the proxy that prepares the session's one is outstanding */
+    PX_C_RUNNING, /* the session's statement is outstanding */
     PX_C_IDLE_IN_TXN,  /* in a session's transaction, between two statements */
-    PX_C_ROLLING_BACK, /* our own rollback is out */
-    PX_C_ORPHANED,     /* an answer is out that nobody waits for any more */
+    PX_C_ROLLING_BACK, /* a rollback of the proxy is outstanding */
+    PX_C_ORPHANED,     /* an answer is outstanding that no session waits for */
 };
 
 /* A connection to an instance. */
 struct px_conn {
-    struct px_conn *next; /* the instance's */
+    struct px_conn *next; /* list link of the instance's connections */
     struct px_inst *inst;
     struct nt_conn *net;
     struct sr_buf in; /* what has come and is not taken yet */
     bool closing;
-    char account[AC_NAME]; /* it was opened for; px_identify */
-    int64_t last_used_at;  /* a statement was sent on it last, or it was opened */
+    char account[AC_NAME]; /* the account that it was opened for; px_identify */
+    int64_t last_used_at;  /* when the last statement was sent on it, or it was opened */
     enum px_conn_phase phase;
-    struct px_session *session; /* it works for, or that has its transaction here */
+    struct px_session *session; /* the session that it serves, or whose transaction it holds */
     struct px_applied applied;
 
-    /* what is out */
+    /* the outstanding statement */
     struct px_stmt setup;          /* PX_C_SETUP */
-    char setup_name[PX_STMT_NAME]; /* of a PREPARE of our own */
-    int64_t sent_at;               /* PX_C_OPENING: when it began */
-    uint64_t term;                 /* the group's, when it was sent */
-    bool leased;                   /* the term was known to be in force then */
+    char setup_name[PX_STMT_NAME]; /* name in a PREPARE of the proxy */
+    int64_t sent_at; /* when the statement was sent; PX_C_OPENING: when opening began */
+    uint64_t term;   /* term of the group when the statement was sent */
+    bool leased;     /* the term was known to be in force then */
 
-    /* the answer as far as it has come */
-    struct sr_buf rows; /* as they go to the caller */
+    /* the part of the answer received so far */
+    struct sr_buf rows; /* result rows, as passed to the caller */
     struct sr_buf signature;
-    bool complete_seen; /* PX_DONE has come */
+    bool complete_seen; /* PX_DONE was received */
     enum er_kind error;
-    char detail[160]; /* of the error; longer ones are cut */
+    char detail[160]; /* detail of the error, truncated */
     enum px_txn state;
     bool has_pos;
     struct ps_pos pos;
@@ -76,68 +76,75 @@
     struct px_group *group;
     int index; /* index in the group */
     struct vw_instance cfg;
-    bool removed; /* not in the view any more: freed with its last connection */
+    bool removed; /* not in the view any more; freed with its last connection */
     struct px_inst *next_removed;
 
     /* connections */
     struct px_conn *conns;
     int n_conns;
-    int share;             /* how many this node may have */
+    int share;             /* connections that this node may have */
     int busy;              /* connections that are neither opening nor idle */
-    int renewals_left;     /* renewals that name it still */
-    int peak_demand;       /* the most that were busy or waited for, lately */
-    int64_t next_open_at;  /* no new connection before */
-    bool wants_first_conn; /* a connection is to be opened before anybody waits for it */
-    int64_t
-        share_requested_at; /* a statement found that there is no share, and asked for one */
-    int64_t too_many_since; /* it has refused connections as too many since; 0: it has not */
+    int renewals_left;     /* number of further renewals that name the instance */
+    int peak_demand;       /* recent maximum of busy connections and waiting sessions */
+    int64_t next_open_at;  /* earliest time for a new connection */
+    bool wants_first_conn; /* a connection is to be opened before any session waits for one */
+    int64_t share_requested_at; /* when a share was last requested for a waiting statement */
+    int64_t too_many_since; /* since when it refuses connections as too many; 0: it does not */
     struct px_saturation saturation;
-    int replaced;               /* connections closed for those of other accounts, lately */
-    char last_account[AC_NAME]; /* the last connection was opened for */
+    int replaced;               /* connections recently closed for those of other accounts */
+    char last_account[AC_NAME]; /* account of the last connection opened */
 
-    /* sessions that wait for one, in the order in which they are served */
+    /* sessions that wait for a connection, in the order in which they are served */
     struct px_session *waiters;
     int n_waiters;
 
-    /* whether it is there */
+    /* reachability */
     int64_t last_received;     /* last sign of life */
-    int64_t connect_failed_at; /* a connect was refused; 0: heard since */
-    bool wants_probe; /* a good connection was lost: another is to tell whether it is there */
-    int64_t suspicion_sent_at; /* a suspicion, to the entry role */
+    int64_t connect_failed_at; /* when opening a connection failed; 0: something was received
+                                  since */
+    bool wants_probe; /* an open connection was lost; a new one is to show whether the instance
+                         is alive */
+    int64_t suspicion_sent_at; /* when a suspicion was last reported to the entry role */
 
-    /* how it serves */
+    /* service quality */
     struct px_window window;
     struct px_outlier outlier;
-    bool wants_handover;     /* the primary, and should hand over */
-    int64_t outlier_since;   /* it fails much and others of its group do not; 0: not so */
+    bool wants_handover;     /* it is the primary and should hand over its role */
+    int64_t outlier_since;   /* since when it fails while others of its group do not; 0: it does
+                                not */
     int64_t service_us;      /* smoothed time of a statement */
-    double service_factor;   /* times what its statements take elsewhere; px_pace */
-    struct ps_pos known_pos; /* its log held this when it was heard last */
-    int64_t behind_until;    /* it lacked a position; not asked for one like it before */
-    int64_t read_served_at;  /* it served a read */
+    double service_factor;   /* its service times relative to the group's; px_service_times */
+    struct ps_pos known_pos; /* the last position that it reported */
+    int64_t behind_until;   /* it lacked a position; no read of a later one than known_pos until
+                               then */
+    int64_t read_served_at; /* when it last served a read */
 };
 
-/* A group of the view. */
+/* A group of instances in the view. */
 struct px_group {
     struct px_proxy *p;
     struct vw_group cfg;
     struct px_inst *inst[VW_MAX_INSTANCES]; /* indexed like cfg.inst */
     struct px_service_times service_times;
-    struct rt_group rt; /* samples of the primary's position; the rest is not used */
-    bool held; /* this node has connections to its instances; else sessions go to a holder */
+    struct rt_group rt; /* only the samples of the primary's position are used */
+    bool held; /* this node has connections to its instances; otherwise sessions are relayed to
+                  a holder */
     bool connects_first; /* this node is among `holders` */
-    int64_t released_at; /* this node ceased to hold it */
-    /* In the proxy's nodes: those that hold it, or where all do, those that connect first. */
+    int64_t released_at; /* when this node stopped holding it */
+    /* Indices into the proxy's nodes: the holders, or where all nodes hold the group, those
+     * that connect first. */
     int n_holders;
     uint16_t holders[HO_MAX_HOLDERS];
-    /* Where the document's accounts are among the holders, by their number there; NULL until it
-     * is asked for. */
+    /* Placement of the document's accounts among the holders, by account number; NULL until it
+     * is needed. */
     struct pl_placement *placements;
     struct px_handover handover;
-    int64_t wait_failed_at;  /* a statement waited for its primary in vain */
-    int64_t term_began_at;   /* this node acts on its term */
-    int64_t settle_deadline; /* planned change: what runs at the primary may end until then */
-    int64_t primary_refused_at; /* the view's primary said that it is none: not asked before */
+    int64_t wait_failed_at;  /* when a statement last failed to get the primary */
+    int64_t term_began_at;   /* when this node learned of its term */
+    int64_t settle_deadline; /* planned change of primary: statements at the old primary may end
+                                until then */
+    int64_t primary_refused_at; /* when the instance that the view names as primary refused that
+                                   role */
 };
 
 /* What a session's statement waits for. */
@@ -242,7 +249,7 @@
     unsigned skip;      /* bits of instances that could not serve it */
 };
 
-/* Whom bytes are exchanged with, beside callers. */
+/* Kinds of peers other than callers, for counting bytes. */
 enum px_peer_kind { PX_PEER_INSTANCE, PX_PEER_NODE, PX_PEERS };
 enum { PX_DISTANCES = 3 }; /* rt_distance: the same failure domain, another, another region */
 
@@ -252,11 +259,12 @@
     struct px_proxy *p;
     char name[32], ip[46], domain[32];
     int port;
-    int n_relays; /* that name it */
+    int n_relays; /* relays that refer to it */
     struct nb_neighbor status;
-    int64_t passed_on_at; /* it passed a session on to a holder that we did not reach */
+    int64_t passed_on_at; /* when it last passed a session on to a holder that this node does
+                             not reach */
     struct nt_conn *trial_conn;
-    char database[CG_NAME]; /* of the last session that went there: what a trial asks for */
+    char database[CG_NAME]; /* database of the last session relayed there; used by trials */
     char key[AC_KEY];
 };
 
@@ -461,42 +469,44 @@
 struct px_target px_next_target(const struct px_session *s, const struct px_tries *t,
                                 bool seeks, int64_t now);
 
-/* neighbors.c: what is believed of the other nodes, and trials of them */
+/* neighbors.c: the state of the other nodes, and trials of them */
 enum {
     PX_PASSED_ON_RECENTLY_US = 5000000
-}; /* who passed a session on lately probably does it again */
+}; /* a node that passed a session on within this time probably does it again */
 
 enum nb_rank px_neighbor_rank(const struct px_proxy *p, const struct ho_node *node,
                               int64_t now);
-/* Whether it passed a session on lately. */
+/* Whether the node recently passed a session on. */
 bool px_neighbor_passes_on(const struct px_proxy *p, const struct ho_node *node, int64_t now);
-/* A relay names the node; px_neighbor_drop when it does not any more. */
+/* Returns the neighbor of the node for use by a relay, which releases it by px_neighbor_unref.
+ */
 struct px_neighbor *px_neighbor_ref(struct px_proxy *p, const struct ho_node *node);
 void px_neighbor_unref(struct px_neighbor *nb);
 /* Every tick. */
 void px_neighbors_tick(struct px_proxy *p, int64_t now);
-/* The list of nodes changed: those that are gone are forgotten. */
+/* The list of nodes changed: frees neighbors that are not in the list and not in use. */
 void px_forget_unlisted_neighbors(struct px_proxy *p);
 int px_count_silent_neighbors(const struct px_proxy *p);
-/* Whether any node passed a session on lately. */
+/* Whether any node recently passed a session on. */
 bool px_any_neighbor_passes_on(const struct px_proxy *p, int64_t now);
 
 /* holders.c: which nodes hold connections to which groups */
-/* The view, the document or the nodes changed. */
+/* Call after a change of the view, the document or the list of nodes. */
 void px_update_holders(struct px_proxy *p);
-/* Whether it is known which other nodes there are, or has been waited for long enough. Until
- * then this node holds no group. */
+/* Whether the list of nodes is known, or has been waited for long enough. Until then this node
+ * holds no group. */
 bool px_knows_nodes(const struct px_proxy *p);
 /* Every tick. */
 void px_holders_tick(struct px_proxy *p);
-/* The holders for the session's account, the one to ask first in front: numbers in p->nodes;
- * returns how many. `out` has room for HO_MAX_HOLDERS. */
+/* Writes the holders for the session's account to `out`, in the order in which they are tried,
+ * as indices into p->nodes, and returns their number. `out` has room for HO_MAX_HOLDERS. */
 int px_holders_for(const struct px_session *s, struct px_group *g, int *out);
-/* Whether this node is one of those at which the account's sessions meet. */
+/* Whether this node is one of the holders that serve the account's sessions. */
 bool px_serves_account(const struct px_session *s, struct px_group *g);
-/* The account's first holders in the group; NULL: the document doesn't list it. */
+/* The account's preferred holders in the group; NULL: the document doesn't list the account. */
 const struct pl_placement *px_account_placement(struct px_group *g, const char *account);
-/* Whether this node has an open connection to the group's primary, as far as there is one. */
+/* Whether this node has an open connection to the group's primary; true if there is no primary.
+ */
 bool px_reaches_primary(const struct px_group *g);
 
 /* work.c: one statement on its way */
@@ -541,43 +551,46 @@
 
 /* pool.c: instances */
 struct px_inst *px_inst_new(struct px_group *g, const struct vw_instance *cfg);
-/* It left the view, or moved: its connections end, then it is freed. */
+/* The instance left the view or was replaced: closes its connections; frees it after the last
+ * one. */
 void px_inst_remove(struct px_inst *in);
-/* Free it if it is gone and has no connection any more. */
+/* Frees the instance if it was removed and has no connection. */
 void px_inst_free_if_removed(struct px_inst *in);
-/* An idle connection for the session, or its place among those that wait for one. */
+/* Runs the session's statement on an idle connection, or queues the session. */
 void px_inst_submit(struct px_inst *in, struct px_session *s);
-/* Whether a connection of its account is idle there. */
+/* Whether a connection of the session's account is idle. */
 bool px_inst_has_idle_conn(const struct px_inst *in, const struct px_session *s);
-/* The session waits no longer. */
+/* Removes the session from the waiting ones. */
 void px_inst_dequeue(struct px_inst *in, struct px_session *s);
-/* Serve those that wait, as far as connections are idle. */
+/* Serves waiting sessions as far as connections are idle. */
 void px_inst_serve_waiters(struct px_inst *in);
-/* Statements that are out there, without those whose answers are probably lost. */
+/* Number of outstanding statements, without those whose answers are probably lost. */
 int px_inst_running(const struct px_inst *in);
 void px_inst_tick(struct px_inst *in, int64_t now);
-/* Whether a statement may go there: it is there as far as is known, and stays. */
+/* Whether statements may be sent to the instance: it is reachable as far as known, and stays.
+ */
 bool px_inst_usable(const struct px_inst *in, int64_t now);
-/* The node got a share: its first connection is opened before anybody waits for it. */
+/* The node got a share: opens its first connection before any session waits for one. */
 void px_inst_want_first_conn(struct px_inst *in, int64_t now);
-/* Statements find it without a share: ask for one, soon. */
+/* Requests a share soon, since a statement found none. */
 void px_inst_request_share(struct px_inst *in, int64_t now);
 /* Whether one more connection may be opened. */
 bool px_inst_has_room(const struct px_inst *in, int64_t now);
-/* Tell the entry role that the primary does not answer, or refuses; now and then only. */
+/* Reports to the entry role that the primary does not answer, refuses or should hand over;
+ * limited to one report per interval. */
 void px_inst_report_suspicion(struct px_inst *in, enum wr_health health);
 
 /* conn.c: connections to instances */
 void px_conn_open(struct px_inst *in, const char *account);
-/* Prepare the connection for the session's statement, step by step, and run it. */
+/* Prepares the connection for the session's statement, step by step, and runs it. */
 void px_conn_run(struct px_conn *c, struct px_session *s);
-/* Nobody waits for what is out. */
+/* No session waits for the outstanding answer any more. */
 void px_conn_orphan(struct px_conn *c);
-/* Roll back, then serve others. */
+/* Rolls back, then serves other sessions. */
 void px_conn_rollback(struct px_conn *c);
-/* Nothing is open on it: serve others. */
+/* The connection has no open transaction: serves other sessions. */
 void px_conn_idle(struct px_conn *c);
-/* Its end is reported to the session it works for, by px_lost. */
+/* Closes the connection; the close is reported to its session by px_lost. */
 void px_conn_close(struct px_conn *c);
 void px_conn_tick(struct px_conn *c, int64_t now);
 
@@ -589,14 +602,15 @@
 bool px_document_due(const struct px_proxy *p);
 void px_documents_tick(struct px_proxy *p);
 
-/* groups.c: the view */
+/* groups.c: groups and instances of the view */
 struct px_group *px_group(const struct px_proxy *p, const char *name);
-/* The group that the session's route names, NULL: none, or no route was taken. */
+/* The group of the session's route; NULL: there is none, or no route was chosen. */
 struct px_group *px_session_group(const struct px_session *s);
 struct px_inst *px_inst(const struct px_proxy *p, struct sr_str id);
-/* The instance that serves the group's term, NULL: none is known to. */
+/* The instance that serves the group's term; NULL: none is known to. */
 struct px_inst *px_serving_primary(const struct px_group *g, int64_t now);
-/* What the primary's position was at a time since when a read may miss nothing. */
+/* The minimum position for a read whose data may be at most max_age_us old. False: it is not
+ * known. */
 bool px_age_floor(const struct px_group *g, int64_t max_age_us, int64_t now,
                   struct ps_pos *floor);
 void px_groups_tick(struct px_proxy *p, int64_t now);
--- a/proxy/read_choice.c
+++ b/proxy/read_choice.c
@@ -1,25 +1,26 @@
 #include "proxy/read_choice.h"
 
 enum {
-    /* The primary's time is what writes need: a read there is taken for dearer by a half.
-     * Origin: a guess; 250 % was no better for callers (docs/DECISIONS.md). */
+    /* Writes need the primary, so its cost for a read counts half as much again. A factor of
+     * 250 % gave callers no better service. */
     PRIMARY_PERCENT = 150,
-    OPEN_CONN_US = 12000, /* a new connection occupies an instance for so long (users' pages) */
-    TRIP_US = 1500,       /* a trip to another failure domain and back */
-    /* The bytes of a far answer are paid for: beyond the trip, a far instance is taken for
-     * dearer by this part of the statement. The near one is asked while it is idle or little
-     * slower, the far one as soon as that saves a statement's wait. With twice as much callers
-     * wait longer.
-     */
+    OPEN_CONN_US = 12000, /* a new connection occupies a slot of the instance for this long */
+    TRIP_US = 1500,       /* a round trip to another failure domain */
+    /* Traffic between failure domains costs money, so each step of distance adds this part of
+     * the statement's time to the round trip. The near instance is preferred while it is idle
+     * or slightly slower, the far one as soon as it saves a statement's wait. With twice this
+     * part callers wait longer. */
     DISTANCE_PERCENT = 25,
-    /* A read that fails costs its caller another try: an instance that fails half of them is
-     * taken for five times as slow, so that it is asked only where the others are that full. */
+    /* A failed read costs the caller another try. An instance that fails half of its reads
+     * counts as five times as slow, so that it is used only if the others have that many
+     * statements waiting. */
     FAIL_FACTOR = 8,
-    FAIL_RETRY_US = 20000, /* the try that follows, however short the statement is */
-    NOISE_PERCENT = 10,    /* nodes that know the same do not all choose the same */
+    FAIL_RETRY_US = 20000, /* the retry, however short the statement is */
+    NOISE_PERCENT =
+        10, /* random part, so that nodes with equal knowledge choose different instances */
 };
 
-/* It refused a position like this a moment ago, and was not heard to have it since. */
+/* Whether it recently lacked a position and has not reported the floor since. */
 static bool lacks_floor(const struct px_candidate *c, bool has_floor, struct ps_pos floor,
                         int64_t now)
 {
--- a/proxy/read_choice.h
+++ b/proxy/read_choice.h
@@ -1,8 +1,9 @@
-/* Which instance serves a read. Pure.
+/* Chooses the instance that serves a read. Pure; called by work.c.
  *
- * Every instance of a group can, if its log holds the floor; the instance checks that itself.
- * The cost of asking one: what it takes there as last measured, times what this node has
- * waiting there, and what is lost where it will probably refuse or fail. */
+ * Every instance of a group can serve a read if its log has reached the read's floor; the
+ * instance checks that itself. The estimated cost of an instance is the statement's service
+ * time there, multiplied by this node's outstanding statements, plus the cost of a likely
+ * refusal or failure. */
 #ifndef FL_PROXY_READ_CHOICE_H
 #define FL_PROXY_READ_CHOICE_H
 
@@ -13,19 +14,21 @@
 #include "misc/rng.h"
 
 struct px_candidate {
-    bool usable; /* there, not draining, not tried before for this read */
+    bool usable; /* reachable, not draining, not tried before for this read */
     bool primary;
-    bool has_conn;           /* an idle connection that fits, or one that costs nothing more */
-    int outstanding;         /* statements of this node there, running or waiting */
-    int64_t service_us;      /* what the statement would take there; px_pace_expect */
-    double fail_rate;        /* of what was asked there lately, 0 to 1; px_outlier_rate */
-    int distance;            /* 0 the same failure domain, 1 another, 2 another region */
-    struct ps_pos known_pos; /* its log held this when it was heard last */
-    int64_t behind_until;    /* it refused a floor like this; not before then */
+    bool has_conn;           /* a usable connection is idle, or none needs to be opened */
+    int outstanding;         /* statements of this node, running or waiting there */
+    int64_t service_us;      /* expected time of the statement there; px_service_time_expect */
+    double fail_rate;        /* recent failure rate, 0 to 1; px_outlier_failure_rate */
+    int distance;            /* 0: the same failure domain, 1: another, 2: another region */
+    struct ps_pos known_pos; /* the last position that it reported */
+    int64_t behind_until;    /* it lacked a position; no read with a floor above known_pos until
+                                then */
 };
 
-/* The index, or -1: none is there, or those that are lack the floor. `floor`: what the read
- * must see; has_floor false: anything. */
+/* Returns the index of the instance; -1 if none is usable or all usable ones lack the floor.
+ * `floor` is the minimum position that the read must see; without has_floor any position will
+ * do. */
 int px_choose_instance(const struct px_candidate *c, int n, bool has_floor, struct ps_pos floor,
                        int64_t now, struct rn_rng *rng);
 
--- a/proxy/saturation.c
+++ b/proxy/saturation.c
@@ -1,10 +1,10 @@
 #include "proxy/saturation.h"
 
 enum {
-    /* One instance is tried so often: what comes free should not lie idle. */
+    /* Interval between attempts, short enough that a freed connection is used soon. */
     TRY_INTERVAL_US = 60000,
-    /* A refusal is forgotten after this: dark connections are dropped within 3 s, and an
-     * instance that is full for long is tried now and then. */
+    /* A refusal counts for this long. Instances drop the connections of lost VMs within 3 s,
+     * and an instance that stays saturated is still tried now and then. */
     REFUSAL_LIFE_US = 3500000,
 };
 
--- a/proxy/service_time.c
+++ b/proxy/service_time.c
@@ -2,14 +2,14 @@
 
 #include <xxhash.h>
 
-/* Weights of one answer. A node has some ten answers a second of a kind, spread over the
- * instances of a group: the usual time follows within seconds, an instance's factor within one
- * or two, as queues come and go faster than work changes. */
+/* Weights of one answer. A node gets some ten answers a second of each kind, spread over the
+ * instances of a group: the typical time adapts within seconds, an instance's factor within one
+ * or two, since queues change faster than the work of statements. */
 #define TYPICAL_WEIGHT (1.0 / 64)
 #define FACTOR_WEIGHT (1.0 / 8)
-/* One answer that hung for seconds is forgotten after thirty others. */
+/* Limits the effect of an answer that took seconds to about thirty later answers. */
 #define MAX_FACTOR 50.0
-/* Before any answer: of the order of a short statement and its way. */
+/* Assumed before any answer: about a short statement and its round trip. */
 #define INITIAL_US 15000.0
 
 unsigned px_statement_kind(struct sr_str database, bool writes)
--- a/proxy/service_time.h
+++ b/proxy/service_time.h
@@ -1,9 +1,11 @@
-/* How fast instances are, told apart from how much work they are given.
+/* Measures how fast instances are, independent of the work they are given. Pure; called by
+ * conn.c and work.c.
  *
- * Pure. Statements differ in work by database and kind, and the primary gets other ones than
- * the replicas: a mean time of all that an instance served says which statements it had as much
- * as how loaded it is. So each answer is compared with what answers to statements like it take
- * anywhere, and an instance is described by that factor: 1 is as fast as the others. */
+ * Statements differ in work by database and kind, and the primary gets other statements than
+ * the replicas, so the mean time of all statements of an instance depends on its statements as
+ * much as on its load. Each answer is therefore compared with the typical time of such
+ * statements in the whole group, and an instance is described by the ratio: 1 is as fast as the
+ * others. */
 #ifndef FL_PROXY_SERVICE_TIME_H
 #define FL_PROXY_SERVICE_TIME_H
 
@@ -12,20 +14,20 @@
 
 #include "misc/str.h"
 
-/* Kinds of statements told apart; two may share a place, which makes both less exact. */
+/* Number of kinds, by hash; two kinds may share an entry, which makes both less exact. */
 enum { PX_STATEMENT_KINDS = 128 };
 
-/* What statements take, by kind. Zero-initialised is empty. */
+/* Typical times of a group's statements. Zero-initialized: no statement was measured. */
 struct px_service_times {
-    double typical_us[PX_STATEMENT_KINDS]; /* 0: none was seen */
+    double typical_us[PX_STATEMENT_KINDS]; /* by kind; 0: not measured */
 };
 
-/* A kind: the statements of a database that write, or that do not. */
+/* The kind of a statement: database, and whether it writes. */
 unsigned px_statement_kind(struct sr_str database, bool writes);
-/* An answer came after `us` from the instance whose factor this is (at first 1). */
+/* Records an answer after `us` microseconds. `factor` is that of the instance, 1 at first. */
 void px_service_time_record(struct px_service_times *p, unsigned kind, double *factor,
                             int64_t us);
-/* What a statement of the kind takes at an instance with that factor, in microseconds. */
+/* Expected time of a statement of the kind at an instance with that factor, in microseconds. */
 int64_t px_service_time_expect(const struct px_service_times *p, unsigned kind, double factor);
 
 #endif
--- a/proxy/window.c
+++ b/proxy/window.c
@@ -1,10 +1,10 @@
 #include "proxy/window.h"
 
-/* Origin of the figures: the usual ones of additive increase and multiplicative decrease, tried
- * under overload on the users' platform. */
-/* All nodes that share an instance may begin at the same moment. With eight each, sixteen of
- * them met a queue of 24 with 128 statements after a loss of all power, and 2,000 statements in
- * 0.2 s were refused as busy; one each fits, and is widened with each answer. */
+/* Additive increase and multiplicative decrease. */
+/* All nodes that share an instance may begin at the same time. With an initial size of eight,
+ * sixteen nodes sent 128 statements to an instance with a queue of 24 after a loss of all
+ * power, and 2,000 statements in 0.2 s were refused as busy. With one each they fit, and the
+ * window grows with each answer. */
 #define INITIAL_SIZE 1.0
 #define MAX_SIZE 64.0
 #define MIN_SIZE 0.15
@@ -12,10 +12,11 @@
 #define SHRINK_SLOW 0.9
 #define GROWTH 0.5
 #define SMOOTHING (1.0 / 16)
-/* Statements differ in work; only a mean far above the calm one is a queue. */
+/* Statements differ in work; only a mean far above the baseline indicates a queue. */
 #define SLOW_FACTOR 3.0
 #define SLOW_MARGIN_US 25000.0
-#define BASELINE_GROWTH 1.0005 /* the instance may have become slower for good */
+#define BASELINE_GROWTH                                                                        \
+    1.0005 /* lets the baseline follow an instance that became slower permanently */
 #define INITIAL_TIME_US 15000.0
 
 void px_window_init(struct px_window *w)
@@ -26,7 +27,7 @@
 
 static void shrink(struct px_window *w, double by, int64_t now)
 {
-    /* Once a round trip: what is out now was sent under the wider window. */
+    /* At most once per round trip: outstanding statements were sent under the larger window. */
     if (now - w->shrunk_at < (int64_t)w->smoothed_us)
         return;
     w->shrunk_at = now;
