--- a/pool/shares.c
+++ b/pool/shares.c
@@ -6,7 +6,7 @@
 
 #include "misc/str.h"
 
-/* Leases that ran out are looked for at least this often. */
+/* Maximum interval between checks for expired leases. */
 #define EXPIRY_CHECK_US CK_MS(500)
 
 bool sh_name_in_renewal(int *left, uint32_t held, uint32_t want)
@@ -19,10 +19,10 @@
     return true;
 }
 
-void sh_begin(struct sh_table *t, int64_t quiet_until)
+void sh_begin(struct sh_table *t, int64_t no_grants_until)
 {
     sh_free(t);
-    t->no_grants_until = quiet_until;
+    t->no_grants_until = no_grants_until;
 }
 
 void sh_free(struct sh_table *t)
@@ -117,19 +117,19 @@
     n->lease_until = until;
     n->want = want;
     if (held > n->counted) {
-        /* It holds what an earlier leader dealt, or what was told it since. */
+        /* It holds a share assigned by an earlier leader, or sent to it since. */
         n->counted = held;
         if (now < t->no_grants_until)
             n->target = held;
     }
     if (seq >= n->sent_seq && held == 0 && want == 0)
-        n->target = 0; /* it gave the instance up: another node may have it at once */
+        n->target = 0; /* it uses the instance no more: its share is free at once */
     if (seq >= n->sent_seq)
         n->counted = held > n->target ? held : n->target;
     return may_change || n->counted != counted || n->counted < want;
 }
 
-/* Nodes whose lease ran out keep one connection for a while, then none. */
+/* Nodes whose lease expired keep one connection for a while, then none. */
 static void expire(struct sh_inst *in, int64_t forget_us, int64_t now)
 {
     for (int i = 0; i < in->n; i++) {
@@ -147,7 +147,7 @@
     }
 }
 
-/* Max-min fair: everyone up to the water level, nobody above what it wants. */
+/* Max-min fairness: every node gets up to the water level, and none more than it wants. */
 static int water_level(const struct sh_inst *in, int64_t now, int room, int *left)
 {
     int level = 0;
@@ -170,8 +170,8 @@
     }
 }
 
-/* What stays over the water level goes out one by one, first to those that hold one more
- * already, so that nothing is moved for nothing. */
+/* Connections left above the water level are assigned one by one, first to nodes that already
+ * hold one more than the level, to avoid needless moves. */
 static void distribute_remainder(struct sh_inst *in, int64_t now, int level, int room)
 {
     for (int held = 1; held >= 0 && room > 0; held--) {
@@ -209,7 +209,8 @@
         int want = n->want;
         int next = want < level + n->gets_extra ? want : level + n->gets_extra;
         n->gets_extra = false;
-        /* Growth only out of what nobody may hold now; shrinking is asked for at once. */
+        /* A share grows only by connections that no node may hold now; shrinking is requested
+         * at once. */
         int grow = next - n->counted;
         if (grow > unassigned)
             next = n->counted + (unassigned > 0 ? unassigned : 0);
@@ -219,7 +220,7 @@
         }
         changed = changed || next != n->target;
         if (next != n->target)
-            n->sent_seq = UINT64_MAX; /* unconfirmed until it has been told */
+            n->sent_seq = UINT64_MAX; /* unconfirmed until it has been sent */
         n->target = next;
     }
     assert(sum_counted(in) <= in->limit - in->reserve || unassigned < 0);
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -232,7 +232,7 @@
     struct sr_str id, text;
     struct px_stmt stmt; /* the text, taken apart */
     bool writes;
-    unsigned kind; /* px_pace_kind */
+    unsigned kind; /* px_statement_kind */
     int64_t arrived, deadline;
     bool has_floor;
     struct ps_pos floor; /* what a read must see */
--- a/route/capacity.c
+++ b/route/capacity.c
@@ -1,11 +1,11 @@
 #include "route/capacity.h"
 
 enum {
-    /* Each way over a holder's link: the statement from a node and on to the instance, the
-     * answer from there and back, with what TCP adds. */
+    /* Bytes in each direction over a holder's link: the statement from a node and on to the
+     * instance, the answer from there and back, with TCP overhead. */
     STATEMENT_BYTES = 1400,
     STATEMENT_CPU_US = 150,
-    /* Of the VM, for what it serves for others; the rest is for its own callers, control, and
+    /* Part of the VM that serves other nodes; the rest is for its own callers, control, and
      * bursts. */
     FOR_OTHERS_PERCENT = 50,
 };
--- a/route/holders.c
+++ b/route/holders.c
@@ -4,7 +4,9 @@
 
 #include <xxhash.h>
 
-enum { STRONG_FRACTION = 4 }; /* strong: this part of the strongest node's carrying capacity */
+enum {
+    STRONG_FRACTION = 4
+}; /* a strong node can carry at least 1/STRONG_FRACTION of the strongest one */
 
 static void mark_strong(struct ho_node *nodes, int n)
 {
@@ -50,7 +52,7 @@
         while (x->domain_index < n_names && strcmp(names[x->domain_index], x->domain) != 0)
             x->domain_index++;
         if (x->domain_index == HO_DOMAINS)
-            x->domain_index--; /* the last stands for all that are over */
+            x->domain_index--; /* the last index is shared by all further domains */
         else if (x->domain_index == n_names)
             names[n_names++] = x->domain;
     }
@@ -66,8 +68,8 @@
     return false;
 }
 
-/* Whether node i goes before node b: one of a failure domain that has none yet first, then
- * strong ones, then of the failure domain with fewest picked, then the one with the higher
+/* Whether node i ranks before node b: a node of a failure domain without a holder ranks first,
+ * then strong nodes, then nodes of the failure domain with fewest holders, then the higher
  * score. */
 static bool ranks_before(const struct ho_node *nodes, const uint64_t *score, const int *picked,
                          int i, int b)
--- a/route/holders.h
+++ b/route/holders.h
@@ -1,15 +1,14 @@
-/* Which entry nodes hold connections to a group's instances.
+/* Chooses the entry nodes that hold connections to a group's instances. Pure; an outdated list
+ * of nodes costs an extra hop or a refusal, never consistency.
  *
- * With more entry nodes than an instance has connections, a node's share would fall below one:
- * then k nodes hold a group, and the others forward to them. Rendezvous hashing: every node
- * that knows the same list picks the same holders; a node that comes or goes moves only its own
- * groups. Holders are spread over failure domains as evenly as the nodes allow.
+ * With more entry nodes than an instance accepts connections, a node's share would be below
+ * one. Instead, k nodes hold a group and the others relay to them. Rendezvous hashing lets
+ * every node with the same list choose the same holders; a node that joins or leaves moves only
+ * its own groups. Holders are spread over failure domains as evenly as the nodes allow.
  *
- * Pattern: nodes of very different size. A holder's link carries each relayed statement four
- * times, so a small VM that holds a group is full while a large one beside it idles: strong
- * nodes are picked first, as soon as each failure domain has one holder.
- *
- * Pure. A stale list costs a hop or a refusal, never a promise. */
+ * Nodes may differ much in size. A holder's link carries each relayed statement four times, so
+ * a small VM that holds a group is saturated while a large one is idle: once each failure
+ * domain has a holder, strong nodes are chosen first. */
 #ifndef FL_ROUTE_HOLDERS_H
 #define FL_ROUTE_HOLDERS_H
 
@@ -19,36 +18,37 @@
 enum { HO_MAX_NODES = 1024, HO_MAX_HOLDERS = 16, HO_DOMAINS = 16 };
 
 struct ho_node {
-    char name[32]; /* stable over restarts */
+    char name[32]; /* the same after a restart */
     char domain[32];
-    char ip[46]; /* for callers and for forwarding */
+    char ip[46]; /* for callers and for relayed sessions */
     int port;
-    int carries; /* statements a second, route/capacity.h; 0: not told */
-    /* by ho_prepare: */
-    uint64_t hash;    /* of the name */
-    int domain_index; /* number of the failure domain, below HO_DOMAINS */
-    bool strong;      /* it carries a good part of what the strongest node does */
+    int carries; /* statements per second that it can serve for others, route/capacity.h; 0:
+                    unknown */
+    /* set by ho_prepare: */
+    uint64_t hash;    /* hash of the name */
+    int domain_index; /* index of the failure domain, below HO_DOMAINS */
+    bool strong;      /* its `carries` is at least 1/4 of the strongest node's */
 };
 
-/* Once a list: what every pick from it needs. At the target a list has 460 nodes and 940 groups
- * are picked from it. */
+/* Computes what every pick from the list needs; call once per list. In the target deployment
+ * 940 groups are picked from a list of 460 nodes. */
 void ho_prepare(struct ho_node *nodes, int n);
 
-/* The holders of `group`, best first, of a prepared list, as indices into nodes; at most k and
- * HO_MAX_HOLDERS. Returns how many. */
+/* Chooses at most k holders of `group`, limited to HO_MAX_HOLDERS, from a prepared list. Writes
+ * their indices in `nodes` to `out`, best first, and returns their number. */
 int ho_pick(const struct ho_node *nodes, int n, const char *group, int k, int *out);
-/* How many of the nodes are strong, and what these carry together, statements a second; if none
- * tells what it carries, all are strong and that is 0. */
+/* Returns the number of strong nodes, and in *carry the statements per second that they can
+ * serve together. If no capacity is known, all nodes are strong and *carry is 0. */
 int ho_count_strong(const struct ho_node *nodes, int n, int64_t *carry);
-/* Failure domains in which no node is strong. */
+/* The number of failure domains without a strong node. */
 int ho_count_domains_without_strong(const struct ho_node *nodes, int n);
-/* Order `n` holders (indices into nodes) for an account of a group: rendezvous hashing once
- * more, so that an account's statements meet at the first of them, and at the same next one if
- * that is gone. `order` gets numbers in `holders`. */
+/* Sorts `n` holders (indices into nodes) for an account of a group, again by rendezvous
+ * hashing, so that an account's statements meet at the first holder, and at the same next one
+ * if that is down. `order` gets indices into `holders`. */
 void ho_order(const struct ho_node *nodes, const uint16_t *holders, int n, const char *group,
               const char *account, int *order);
-/* Whether the node called `self` is one of them. With k <= 0, or no more than k nodes, all are.
- */
+/* Whether the node named `self` is one of the k holders. If k <= 0 or there are at most k
+ * nodes, all nodes are. */
 bool ho_is_holder(const struct ho_node *nodes, int n, const char *group, int k,
                   const char *self);
 
--- a/route/nodelist.c
+++ b/route/nodelist.c
@@ -17,7 +17,7 @@
     return XXH64(text, strlen(text) + 1, seed);
 }
 
-/* Sums of the nodes' hashes: a list's hash does not depend on the order. */
+/* The sum of the nodes' hashes, so that a list's hash does not depend on the order. */
 static uint64_t hash_of(const struct ho_node *nodes, int n)
 {
     uint64_t h = NL_EMPTY;
--- a/route/nodelist.h
+++ b/route/nodelist.h
@@ -1,14 +1,15 @@
-/* The list of entry nodes as it changes: what a node lacks of it, instead of the whole.
+/* Versions of the list of entry nodes, and the changes between them, so that a node is sent
+ * only what its list lacks. Pure; used by the control leader and by entry nodes.
  *
- * Pattern: some hundred nodes come back within a second, or a new leader begins while all are
- * there, and each is to know all others. Whole, a list of 300 takes 11 KB; to 300 nodes that is
- * 3.4 MB, a quarter of a second of a link of 100 Mbit/s, in which the leader's heartbeats stand
- * in line behind it: longer than an election takes, so the next leader began the same. A node
- * says which list it has, and is sent what came and went since: some 40 bytes a node, nothing
- * after a mere change of leader.
+ * When some hundred nodes come back within a second, or a new leader begins while all are
+ * connected, each node must learn all others. A whole list of 300 nodes takes 11 KB; sent to
+ * 300 nodes that is 3.4 MB, a quarter of a second of a link of 100 Mbit/s, during which the
+ * leader's heartbeats are queued: longer than an election takes, so the next leader had the
+ * same fate. A node therefore reports which list it has and is sent the nodes added and removed
+ * since: some 40 bytes per node, and nothing after a mere change of leader.
  *
- * Pure. Lists are sorted by name; a list's hash follows from names, domains, addresses
- * and what nodes carry. */
+ * Lists are sorted by name; a list's hash depends on names, domains, addresses and capacities
+ * of its nodes. */
 #ifndef FL_ROUTE_NODELIST_H
 #define FL_ROUTE_NODELIST_H
 
@@ -18,10 +19,10 @@
 #include "route/holders.h"
 
 enum {
-    /* Lists a leader remembers. Origin: it makes at most ten a second, and a node tells which
-     * it has five times a second; whoever is further behind gets the whole. */
+    /* Lists that a leader keeps. It makes at most ten lists a second, and a node reports its
+     * list five times a second; a node that is further behind is sent the whole list. */
     NL_KEPT = 8,
-    NL_EMPTY = 1, /* the hash of a list without nodes, or of one that went wrong; 0: not told */
+    NL_EMPTY = 1, /* hash of a list that is empty or known to be wrong; hash 0: unknown */
 };
 
 struct nl_list {
@@ -30,32 +31,34 @@
     struct ho_node *nodes; /* sorted by name */
 };
 
-/* The newest lists, a ring. */
+/* The newest lists, a ring buffer. */
 struct nl_history {
     struct nl_list kept[NL_KEPT];
-    uint64_t n; /* noted so far */
+    uint64_t n; /* number of lists recorded so far */
 };
 
-/* From one list to another. Nodes point into the lists it was made from, or into a message. */
+/* The change from one list to another. Pointers lead into the lists that it was made from, or
+ * into a message. */
 struct nl_change {
-    uint64_t from, to; /* hashes; from = 0: `came` is the whole list */
+    uint64_t from, to; /* hashes; from = 0: `added` is the whole list */
     int n_added, n_removed;
     const struct ho_node *added[HO_MAX_NODES];
-    const char *removed[HO_MAX_NODES]; /* names; a node that moved stands in both */
+    const char *removed[HO_MAX_NODES]; /* names; a node whose entry changed is in both arrays */
 };
 
-/* Sort by name; returns the list's hash. */
+/* Sorts by name; returns the list's hash. */
 uint64_t nl_sort(struct ho_node *nodes, int n);
-/* The list is now this, sorted, of this hash. Returns whether that is news. */
+/* Records the current list, which is sorted and has this hash. Returns whether it has changed.
+ */
 bool nl_record(struct nl_history *b, const struct ho_node *nodes, int n, uint64_t hash);
-/* The newest list, NULL before the first. */
+/* The newest list; NULL before the first. */
 const struct nl_list *nl_newest(const struct nl_history *b);
-/* What a node that has list `has` lacks of the newest; the whole if `has` is not kept, or if
- * that is shorter. */
+/* The change from the list with hash `has` to the newest one; the whole list if `has` is not
+ * kept, or if the whole list is shorter. */
 void nl_since(const struct nl_history *b, uint64_t has, struct nl_change *out);
-/* Carry the change out on a node's list of at most HO_MAX_NODES, sorted, with hash *hash.
- * False, and nothing is changed: it belongs to another list. What does not lead to the hash it
- * names leaves *hash NL_EMPTY, so that the node asks for the whole. */
+/* Applies the change to a node's sorted list of at most HO_MAX_NODES with hash *hash. Returns
+ * false without a change if it applies to another list. If the result does not have the
+ * expected hash, *hash becomes NL_EMPTY, so that the node requests the whole list. */
 bool nl_apply(struct ho_node *nodes, int *n, uint64_t *hash, const struct nl_change *c);
 void nl_free(struct nl_history *b);
 
--- a/route/placement.c
+++ b/route/placement.c
@@ -5,15 +5,15 @@
 
 #include "misc/str.h"
 
-/* So far above its even part a holder is filled before an account goes to the next one: room
- * enough that few accounts move when a holder is lost, and little enough that the busiest
- * holder has half of its capacity left for bursts. */
+/* A holder is filled up to this multiple of its proportional part before an account is placed
+ * on the next one: enough room that few accounts move when a holder is lost, and little enough
+ * that the busiest holder has half of its capacity left for bursts. */
 #define MAX_FILL 1.35
 
 struct holder_load {
-    double placed[HO_MAX_HOLDERS]; /* of accounts placed so far */
+    double placed[HO_MAX_HOLDERS]; /* size of the accounts placed so far */
     double capacity[HO_MAX_HOLDERS];
-    double max_part; /* an account is divided into parts no larger than this */
+    double max_part; /* accounts are divided into parts that are at most this large */
 };
 
 struct by_size {
@@ -30,7 +30,8 @@
     return strcmp(x->name, y->name);
 }
 
-/* What is not told counts as the mean of what is, or all as alike. */
+/* The size assumed for accounts without a declared one: the mean of the declared sizes, or 1 if
+ * there are none. */
 static double default_size(const struct pl_account *a, int n)
 {
     double sum = 0;
@@ -55,7 +56,7 @@
     return s;
 }
 
-/* In proportion to what the holders carry; alike if that is not told of all. */
+/* In proportion to the holders' capacities; equal if one of them is unknown. */
 static void set_capacities(struct holder_load *l, const struct ho_node *nodes,
                            const uint16_t *holders, int n, double total)
 {
@@ -81,8 +82,8 @@
     return false;
 }
 
-/* The first in its order that has room for the part; if none has, the one that is least over
- * its room with it. */
+/* The first holder in the account's order with room for the part; if none has, the one that the
+ * part would fill least. */
 static int choose_holder(const struct holder_load *l, const int *order, int n,
                          const struct pl_placement *p, double size)
 {
--- a/route/placement.h
+++ b/route/placement.h
@@ -1,13 +1,14 @@
-/* Which holders of a group serve which client account.
+/* Assigns client accounts to the holders of a group. Pure; called by the proxy.
  *
- * Pattern: accounts of very different size. An account's statements meet at one holder, so that
- * its few connections serve all of them; by hashing alone one node gets several large accounts
- * and is full while the holders beside it are idle. Here accounts are placed by the size that
- * their limits declare, largest first, each on the holder that hashing prefers among those that
- * have room; an account that is larger than a holder's part is divided over several.
+ * Accounts may differ much in size. An account's statements meet at one holder, so that its few
+ * connections serve all of them. By hashing alone, one node may get several large accounts and
+ * be saturated while other holders are idle. Here accounts are placed by the size that their
+ * limits declare, largest first, each on the holder that hashing prefers among those with room;
+ * an account larger than a holder's part is divided over several.
  *
- * Pure. It follows from the document and the list of nodes alone, so that every node that has
- * the same two finds the same places; one with an older list costs a hop, no promise. */
+ * The result depends only on the document and the list of nodes, so that every node with the
+ * same two computes the same placement; a node with an older list causes an extra hop, not an
+ * inconsistency. */
 #ifndef FL_ROUTE_PLACEMENT_H
 #define FL_ROUTE_PLACEMENT_H
 
@@ -16,19 +17,19 @@
 
 #include "route/holders.h"
 
-enum { PL_MAX_PARTS = 4 }; /* holders of one account in a group, at most */
+enum { PL_MAX_PARTS = 4 }; /* maximum holders of one account in a group */
 
 struct pl_account {
     const char *name;
-    double size; /* operations a second that its limit allows; 0: not told */
+    double size; /* operations per second that its limit allows; 0: unknown */
 };
 
 struct pl_placement {
     uint8_t n;
-    uint8_t holder[PL_MAX_PARTS]; /* numbers in the group's holders */
+    uint8_t holder[PL_MAX_PARTS]; /* indices into the group's holders */
 };
 
-/* Place each of the accounts; `out` gets one place for each. n_holders is above 0. */
+/* Places all accounts; `out` gets one placement per account. n_holders must be above 0. */
 void pl_place_accounts(const struct pl_account *accounts, int n, const struct ho_node *nodes,
                        const uint16_t *holders, int n_holders, const char *group,
                        struct pl_placement *out);
--- a/route/route.c
+++ b/route/route.c
@@ -25,7 +25,7 @@
     g->samples[g->n_samples++ % RT_MAX_SAMPLES] = (struct rt_sample){requested_at, pos};
 }
 
-/* The newest sample that `applied` covers tells how far behind the replica is. */
+/* The replica's lag by the newest sample that `applied` covers; -1 if it covers none. */
 static int64_t lag_of(const struct rt_group *g, struct ps_pos applied, int64_t now)
 {
     for (uint64_t k = g->n_samples; k > oldest_sample(g); k--) {
@@ -33,7 +33,7 @@
         if (!ps_covers(applied, s->pos, g->starts, g->n_starts))
             continue;
         if (k == g->n_samples)
-            return 0; /* nothing newer is known to be missing */
+            return 0; /* it covers every known sample */
         return now - sample(g, k)->requested_at;
     }
     return -1;
@@ -67,8 +67,8 @@
     return true;
 }
 
-/* Whether `a` serves a read better than `b`: nearer, unless it is full and the other isn't;
- * then by load. */
+/* Whether `a` is preferred to `b`: the nearer one, unless it is full and the other isn't; then
+ * the one with less load. */
 static bool is_better(const struct rt_inst *a, const struct rt_inst *b)
 {
     bool a_full = a->in_flight >= a->limit, b_full = b->in_flight >= b->limit;
@@ -102,8 +102,8 @@
     return c;
 }
 
-/* When the primary reached `floor`, at the earliest: it was not there when the newest sample
- * below it was asked for. 0 if no sample tells. */
+/* The earliest time at which the primary can have reached `floor`: when the newest sample below
+ * it was requested. 0 if there is no such sample. */
 static int64_t reached_at(const struct rt_group *g, struct ps_pos floor)
 {
     for (uint64_t k = g->n_samples; k > oldest_sample(g); k--) {
@@ -113,8 +113,8 @@
     return 0;
 }
 
-/* Whether the replica is expected to cover the floor within wait_us from now: it covers what
- * the primary had one lag ago. */
+/* Whether the replica is expected to cover the floor within wait_us from now: it covers the
+ * position that the primary had one lag ago. */
 static bool covers_soon(const struct rt_group *g, const struct rt_inst *r, struct ps_pos floor,
                         int64_t wait_us, int64_t now)
 {
@@ -126,8 +126,8 @@
     return at && at + r->lag_us <= now + wait_us;
 }
 
-/* The best replica that covers the floor by what is known; or, with `wait_us`, that is
- * expected to within it. */
+/* The preferred replica that covers the floor by its recorded position or, with `wait_us`, is
+ * expected to cover it within that time; -1 if there is none. */
 static int best_replica(const struct rt_group *g, struct ps_pos floor, int64_t wait_us,
                         unsigned skip, int64_t now)
 {
