--- a/proxy/conn.c
+++ b/proxy/conn.c
@@ -327,19 +327,19 @@
 {
     struct px_inst *in = c->inst;
     int64_t now = ck_now();
-    bool full = m->error == ER_TOO_MANY;
-    if (!full)
+    bool too_many = m->error == ER_TOO_MANY;
+    if (!too_many)
         in->too_many_since = 0;
     else if (!in->too_many_since)
         in->too_many_since = now;
-    bool early = full && now - in->too_many_since < STALE_CONNS_US;
-    int open = count_open(in);
-    in->next_open_at = now + (early  ? TOO_MANY_EARLY_RETRY_US
-                              : full ? TOO_MANY_RETRY_US
-                                     : CONNECT_RETRY_US);
-    if (early && open > 0 &&
+    bool early = too_many && now - in->too_many_since < STALE_CONNS_US;
+    int n_open = count_open(in);
+    in->next_open_at = now + (early      ? TOO_MANY_EARLY_RETRY_US
+                              : too_many ? TOO_MANY_RETRY_US
+                                         : CONNECT_RETRY_US);
+    if (early && n_open > 0 &&
         px_has_accounts(in->p)) { /* accounts take turns on the open connections */
-        px_saturation_refused(&in->saturation, &in->p->saturation, open, now);
+        px_saturation_refused(&in->saturation, &in->p->saturation, n_open, now);
         in->next_open_at = now;
     }
     FL_INFO(&in->p->log, "instance %s refuses a connection: %s %.*s", in->cfg.id,
--- a/proxy/groups.c
+++ b/proxy/groups.c
@@ -15,7 +15,7 @@
     CLOCK_MARGIN_US = 20000,
 };
 
-struct px_group *px_group(const struct px_proxy *p, const char *name)
+struct px_group *px_find_group(const struct px_proxy *p, const char *name)
 {
     int lo = 0, hi = p->n_groups;
     while (lo < hi) { /* sorted like the groups of the view */
@@ -33,10 +33,10 @@
 
 struct px_group *px_session_group(const struct px_session *s)
 {
-    return px_group(s->p, s->route.group);
+    return px_find_group(s->p, s->route.group);
 }
 
-struct px_inst *px_inst(const struct px_proxy *p, struct sr_str id)
+struct px_inst *px_find_inst(const struct px_proxy *p, struct sr_str id)
 {
     for (int g = 0; g < p->n_groups; g++) {
         for (int i = 0; i < p->groups[g]->cfg.n; i++) {
@@ -151,7 +151,7 @@
     struct px_group **next = sr_alloc(sizeof(*next) * (size_t)(v->n + 1));
     px_document(p, &v->doc);
     for (int i = 0; i < v->n; i++) {
-        struct px_group *g = px_group(p, v->groups[i].name);
+        struct px_group *g = px_find_group(p, v->groups[i].name);
         next[i] = g ? g : group_new(p, &v->groups[i]);
     }
     free(p->groups); /* groups are never removed */
--- a/proxy/holders.c
+++ b/proxy/holders.c
@@ -34,8 +34,9 @@
 
 bool px_knows_nodes(const struct px_proxy *p)
 {
-    bool waited = p->configured_at && px_heard(p) - p->configured_at >= NODE_LIST_WAIT_US;
-    return p->n_nodes > 0 || waited;
+    bool waited_enough =
+        p->configured_at && px_heard(p) - p->configured_at >= NODE_LIST_WAIT_US;
+    return p->n_nodes > 0 || waited_enough;
 }
 
 static bool is_holder(const struct px_proxy *p, const struct px_group *g)
@@ -67,21 +68,22 @@
 
 /* Whether the strong nodes can carry what all accounts may request. Then weak nodes, whose
  * links would be saturated by a few accounts, hold no group. */
-static bool strong_suffice(const struct px_proxy *p, int n_strong, int64_t carry)
+static bool strong_suffice(const struct px_proxy *p, int n_strong, int64_t strong_capacity)
 {
-    double asked = declared_rate(&p->catalog.accounts) * STATEMENTS_PER_OPERATION;
-    return n_strong >= MIN_HOLDERS && asked > 0 && (double)carry >= asked;
+    double statements_per_s = declared_rate(&p->catalog.accounts) * STATEMENTS_PER_OPERATION;
+    return n_strong >= MIN_HOLDERS && statements_per_s > 0 &&
+           (double)strong_capacity >= statements_per_s;
 }
 
 /* The number of holders such that each has a few connections. If the strong nodes suffice, only
  * these, and one in each failure domain without a strong node. */
 static int holders_for_accounts(const struct px_proxy *p, int conns)
 {
-    int64_t carry;
+    int64_t strong_capacity;
     int k = conns > 0 ? clamp_holders(conns / CONNS_PER_HOLDER_WITH_ACCOUNTS) : MIN_HOLDERS;
-    int n_strong = ho_count_strong(p->nodes, p->n_nodes, &carry);
-    int least = n_strong + ho_count_domains_without_strong(p->nodes, p->n_nodes);
-    return least < k && strong_suffice(p, n_strong, carry) ? least : k;
+    int n_strong = ho_count_strong(p->nodes, p->n_nodes, &strong_capacity);
+    int min_holders = n_strong + ho_count_domains_without_strong(p->nodes, p->n_nodes);
+    return min_holders < k && strong_suffice(p, n_strong, strong_capacity) ? min_holders : k;
 }
 
 /* The number of holders such that each has a few connections; 0: all nodes. */
@@ -102,8 +104,8 @@
     bool known = p->knew_nodes = px_knows_nodes(p);
     for (int i = 0; i < p->n_groups; i++) {
         struct px_group *g = p->groups[i];
-        int out[HO_MAX_HOLDERS], k = holders_of(p, g), before = g->n_holders;
-        bool held = g->held;
+        int out[HO_MAX_HOLDERS], k = holders_of(p, g), n_before = g->n_holders;
+        bool was_held = g->held;
         free(g->placements);
         g->placements = NULL;
         g->n_holders = ho_pick(p->nodes, p->n_nodes, g->cfg.name, k ? k : MIN_HOLDERS, out);
@@ -111,10 +113,10 @@
             g->holders[h] = (uint16_t)out[h];
         g->connects_first = is_holder(p, g);
         g->held = known && px_configured(p) && (k == 0 || g->connects_first);
-        if (held && !g->held)
+        if (was_held && !g->held)
             g->released_at = ck_now();
-        p->news = p->news || (g->held && !held);
-        if (held != g->held || before != g->n_holders)
+        p->news = p->news || (g->held && !was_held);
+        if (was_held != g->held || n_before != g->n_holders)
             FL_EVENT(&p->log, LG_INFO, "holding_changed",
                      "group=%s held=%d holders=%d nodes=%d", g->cfg.name, g->held, g->n_holders,
                      p->n_nodes);
@@ -166,10 +168,10 @@
 int px_holders_for(const struct px_session *s, struct px_group *g, int *out)
 {
     const struct px_proxy *p = s->p;
-    const struct pl_placement *place = px_account_placement(g, s->account);
+    const struct pl_placement *placement = px_account_placement(g, s->account);
     ho_order(p->nodes, g->holders, g->n_holders, g->cfg.name, s->account, out);
-    for (int k = 0; place && k < place->n; k++) {
-        int at = place->holder[(s->state.session + (uint64_t)k) % place->n], i = k;
+    for (int k = 0; placement && k < placement->n; k++) {
+        int at = placement->holder[(s->state.session + (uint64_t)k) % placement->n], i = k;
         while (out[i] != at)
             i++;
         move_forward(out, i, k);
@@ -182,10 +184,10 @@
 bool px_serves_account(const struct px_session *s, struct px_group *g)
 {
     const struct px_proxy *p = s->p;
-    const struct pl_placement *place = px_account_placement(g, s->account);
+    const struct pl_placement *placement = px_account_placement(g, s->account);
     int order[HO_MAX_HOLDERS], n = px_holders_for(s, g, order);
-    int meet = place ? place->n : 1;
-    for (int k = 0; k < meet && k < n; k++) {
+    int n_preferred = placement ? placement->n : 1;
+    for (int k = 0; k < n_preferred && k < n; k++) {
         if (strcmp(p->nodes[order[k]].name, p->cfg.name) == 0)
             return true;
     }
--- a/proxy/neighbor.c
+++ b/proxy/neighbor.c
@@ -29,11 +29,11 @@
     n->next_trial_at = now;
 }
 
-void nb_unanswered(struct nb_neighbor *n, int64_t since, int64_t heard)
+void nb_unanswered(struct nb_neighbor *n, int64_t since, int64_t received_until)
 {
     int64_t from = since > n->last_received ? since : n->last_received;
-    if (heard - from >= DOUBT_AFTER_US)
-        nb_doubt(n, heard);
+    if (received_until - from >= DOUBT_AFTER_US)
+        nb_doubt(n, received_until);
 }
 
 void nb_session_refused(struct nb_neighbor *n, int64_t for_us, int64_t now)
@@ -52,9 +52,9 @@
     n->trial_began_at = now;
 }
 
-bool nb_trial_late(const struct nb_neighbor *n, int64_t heard)
+bool nb_trial_late(const struct nb_neighbor *n, int64_t received_until)
 {
-    return n->trial_pending && heard - n->trial_began_at >= TRIAL_TIMEOUT_US;
+    return n->trial_pending && received_until - n->trial_began_at >= TRIAL_TIMEOUT_US;
 }
 
 static int64_t next_pause(int64_t pause_us)
--- a/proxy/neighbor.h
+++ b/proxy/neighbor.h
@@ -39,8 +39,8 @@
 
 /* Bytes arrived from the node on a relayed session. */
 void nb_received(struct nb_neighbor *n, int64_t now);
-/* A request sent at `since` was unanswered in everything received by `heard`. */
-void nb_unanswered(struct nb_neighbor *n, int64_t since, int64_t heard);
+/* A request sent at `since` was unanswered in everything received by `received_until`. */
+void nb_unanswered(struct nb_neighbor *n, int64_t since, int64_t received_until);
 /* A greeting did not come, or a connection was reset or refused. */
 void nb_doubt(struct nb_neighbor *n, int64_t now);
 /* The node answers, but refuses to open sessions for `for_us` microseconds. */
@@ -50,9 +50,9 @@
  * is open, so that a delay of this node does not count as silence of the other. */
 bool nb_trial_due(const struct nb_neighbor *n, int64_t now);
 void nb_trial_began(struct nb_neighbor *n, int64_t now);
-/* Whether the pending trial has timed out, given that everything received by `heard` was
- * processed. */
-bool nb_trial_late(const struct nb_neighbor *n, int64_t heard);
+/* Whether the pending trial has timed out, given that everything received by `received_until`
+ * was processed. */
+bool nb_trial_late(const struct nb_neighbor *n, int64_t received_until);
 /* The trial ended; a refusal counts as an answer. */
 void nb_trial_ended(struct nb_neighbor *n, bool answered, int64_t now);
 
--- a/proxy/neighbors.c
+++ b/proxy/neighbors.c
@@ -146,9 +146,9 @@
 
 void px_neighbors_tick(struct px_proxy *p, int64_t now)
 {
-    int64_t heard = px_heard(p);
+    int64_t received_until = px_heard(p);
     for (struct px_neighbor *nb = p->neighbors; nb; nb = nb->next) {
-        if (nb->trial_conn && nb_trial_late(&nb->status, heard))
+        if (nb->trial_conn && nb_trial_late(&nb->status, received_until))
             abandon_trial(nb);
         else if (nb_trial_due(&nb->status, now) && (nb->n_relays > 0 || is_listed(p, nb->name)))
             start_trial(nb, now);
--- a/proxy/pool.c
+++ b/proxy/pool.c
@@ -42,8 +42,8 @@
 
 bool px_inst_has_room(const struct px_inst *in, int64_t now)
 {
-    bool may = now >= in->next_open_at && !in->cfg.draining && !in->removed;
-    return may && in->n_conns < in->share &&
+    bool may_open = now >= in->next_open_at && !in->cfg.draining && !in->removed;
+    return may_open && in->n_conns < in->share &&
            px_saturation_may_open(&in->saturation, &in->p->saturation, in->n_conns, now);
 }
 
@@ -147,10 +147,10 @@
 
 static int count_opening(const struct px_inst *in)
 {
-    int k = 0;
+    int n = 0;
     for (const struct px_conn *c = in->conns; c; c = c->next)
-        k += c->phase == PX_C_OPENING;
-    return k;
+        n += c->phase == PX_C_OPENING;
+    return n;
 }
 
 /* A statement that is outstanding for much longer than statements take has probably lost its
@@ -329,10 +329,10 @@
  * lost, or the instance is down. A new connection is opened to find out. */
 static bool has_unanswered(const struct px_inst *in)
 {
-    int64_t heard = px_heard(in->p);
+    int64_t received_until = px_heard(in->p);
     for (const struct px_conn *c = in->conns; c; c = c->next) {
         bool out = c->phase != PX_C_IDLE && c->phase != PX_C_IDLE_IN_TXN;
-        if (out && heard - c->sent_at > NO_ANSWER_US && in->last_received < c->sent_at)
+        if (out && received_until - c->sent_at > NO_ANSWER_US && in->last_received < c->sent_at)
             return true;
     }
     return false;
@@ -341,9 +341,9 @@
 /* Whether a connection has no greeting in time: the instance is down or unreachable. */
 static bool has_no_greeting(const struct px_inst *in)
 {
-    int64_t heard = px_heard(in->p);
+    int64_t received_until = px_heard(in->p);
     for (const struct px_conn *c = in->conns; c; c = c->next) {
-        bool late = c->phase == PX_C_OPENING && heard - c->sent_at > NO_GREETING_US;
+        bool late = c->phase == PX_C_OPENING && received_until - c->sent_at > NO_GREETING_US;
         if (late && in->last_received < c->sent_at)
             return true;
     }
@@ -380,10 +380,10 @@
     return in->outlier_since && px_heard(in->p) - in->outlier_since > OUTLIER_CONFIRM_US;
 }
 
-static bool is_behind(const struct px_inst *in, int64_t heard)
+static bool is_behind(const struct px_inst *in, int64_t received_until)
 {
-    return heard - in->behind_until < BEHIND_RECENT_US &&
-           heard - in->read_served_at > BEHIND_RECENT_US;
+    return received_until - in->behind_until < BEHIND_RECENT_US &&
+           received_until - in->read_served_at > BEHIND_RECENT_US;
 }
 
 static struct px_handover_view handover_view(const struct px_group *g)
@@ -414,7 +414,7 @@
 
 enum wr_health px_health(const struct px_proxy *p, struct sr_str id)
 {
-    const struct px_inst *in = px_inst(p, id);
+    const struct px_inst *in = px_find_inst(p, id);
     int64_t now = ck_now();
     if (!in)
         return WR_UNKNOWN;
@@ -438,12 +438,12 @@
 static void close_excess(struct px_inst *in)
 {
     int keep = in->cfg.draining || in->removed ? 0 : in->share;
-    int over = in->n_conns - keep;
-    for (struct px_conn *c = in->conns; c && over > 0; c = c->next) {
+    int excess = in->n_conns - keep;
+    for (struct px_conn *c = in->conns; c && excess > 0; c = c->next) {
         if (c->phase != PX_C_IDLE || c->closing)
             continue;
         px_conn_close(c);
-        over--;
+        excess--;
     }
 }
 
@@ -458,13 +458,13 @@
         px_conn_open(in, in->p->cfg.name);
     /* This connection may exceed the share by one. It only shows whether the instance is alive;
      * a refusal shows that as well. */
-    bool ask = in->wants_probe || has_unanswered(in);
+    bool probe = in->wants_probe || has_unanswered(in);
     in->wants_probe = false;
-    if (ask && count_opening(in) == 0 && now >= in->next_open_at && !in->removed)
+    if (probe && count_opening(in) == 0 && now >= in->next_open_at && !in->removed)
         px_conn_open(in, in->waiters ? in->waiters->account : in->last_account);
     update_outlier(in, now);
-    bool leads = !in->removed && in->index == in->group->cfg.primary;
-    in->wants_handover = leads && needs_handover(in);
+    bool is_primary = !in->removed && in->index == in->group->cfg.primary;
+    in->wants_handover = is_primary && needs_handover(in);
     if (has_no_greeting(in) || is_confirmed_outlier(in))
         px_inst_report_suspicion(in, WR_SILENT);
     else if (in->wants_handover)
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -603,10 +603,10 @@
 void px_documents_tick(struct px_proxy *p);
 
 /* groups.c: groups and instances of the view */
-struct px_group *px_group(const struct px_proxy *p, const char *name);
+struct px_group *px_find_group(const struct px_proxy *p, const char *name);
 /* The group of the session's route; NULL: there is none, or no route was chosen. */
 struct px_group *px_session_group(const struct px_session *s);
-struct px_inst *px_inst(const struct px_proxy *p, struct sr_str id);
+struct px_inst *px_find_inst(const struct px_proxy *p, struct sr_str id);
 /* The instance that serves the group's term; NULL: none is known to. */
 struct px_inst *px_serving_primary(const struct px_group *g, int64_t now);
 /* The minimum position for a read whose data may be at most max_age_us old. False: it is not
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -107,7 +107,7 @@
 
 void px_share(struct px_proxy *p, struct sr_str id, int connections)
 {
-    struct px_inst *in = px_inst(p, id);
+    struct px_inst *in = px_find_inst(p, id);
     if (!in)
         return;
     in->share = connections;
@@ -329,7 +329,7 @@
 int px_account_nodes(struct px_proxy *p, const char *group, const char *account,
                      const char *nodes[HO_MAX_HOLDERS])
 {
-    struct px_group *g = px_group(p, group);
+    struct px_group *g = px_find_group(p, group);
     const struct pl_placement *place = g ? px_account_placement(g, account) : NULL;
     int n = place ? place->n : 0;
     for (int k = 0; k < n; k++)
--- a/proxy/targets.c
+++ b/proxy/targets.c
@@ -143,7 +143,7 @@
 struct px_group *px_wanted_group(const struct px_session *s)
 {
     const struct cg_route *r = cg_route(&s->p->catalog, sr_from(s->database));
-    return r ? px_group(s->p, r->group) : NULL;
+    return r ? px_find_group(s->p, r->group) : NULL;
 }
 
 struct px_target px_next_target(const struct px_session *s, const struct px_tries *t,
