--- a/pool/shares.h
+++ b/pool/shares.h
@@ -47,8 +47,8 @@
     int n, cap;
     struct sh_inst *inst;
     struct ix_index by_id; /* indices into `inst` */
-    int last_found; /* index of the last instance found, since a renewal looks up the same one
-                       several times */
+    /* Index of the last instance found, since a renewal looks up the same one several times. */
+    int last_found;
 };
 
 /* Whether a node's next renewal must name an instance where it has `held` connections and would
--- a/proxy/conn.c
+++ b/proxy/conn.c
@@ -6,10 +6,10 @@
 #include "proxy/priv.h"
 
 enum {
-    GREETING_TIMEOUT_US =
-        1000000, /* a connection without a greeting by then is closed and retried */
-    ORPHAN_TIMEOUT_US =
-        400000,                /* a later answer counts as lost, and the connection is closed */
+    /* A connection without a greeting by then is closed and retried. */
+    GREETING_TIMEOUT_US = 1000000,
+    /* A later answer counts as lost, and the connection is closed. */
+    ORPHAN_TIMEOUT_US = 400000,
     CONNECT_RETRY_US = 100000, /* after a failed connect */
     /* The instance accepts no more connections until others close some. It is retried early
      * while connections of lost VMs may be what fills it: it drops them within 3 s, and the
@@ -337,8 +337,8 @@
     in->next_open_at = now + (early      ? TOO_MANY_EARLY_RETRY_US
                               : too_many ? TOO_MANY_RETRY_US
                                          : CONNECT_RETRY_US);
-    if (early && n_open > 0 &&
-        px_has_accounts(in->p)) { /* accounts take turns on the open connections */
+    /* Accounts take turns on the open connections. */
+    if (early && n_open > 0 && px_has_accounts(in->p)) {
         px_saturation_refused(&in->saturation, &in->p->saturation, n_open, now);
         in->next_open_at = now;
     }
--- a/proxy/handover.c
+++ b/proxy/handover.c
@@ -5,8 +5,8 @@
      * behind, and callers refused by an overloaded primary lose more in a second than by the
      * change of primary, which takes 0.4 to 0.8 s. */
     CONDITION_MIN_US = 500000,
-    REFUSAL_RECENT_US =
-        700000, /* a refusal no older than this means that callers are refused now */
+    /* A refusal no older than this means that callers are refused now. */
+    REFUSAL_RECENT_US = 700000,
     /* A primary keeps its role for at least this long: the cause of the last handover may not
      * have been its replicas. */
     MIN_TERM_US = 8000000,
--- a/proxy/handover.h
+++ b/proxy/handover.h
@@ -18,8 +18,8 @@
 };
 
 struct px_handover_view {
-    int replicas, behind; /* replicas of the group; those that lack positions and have served no
-                             read recently */
+    /* Replicas of the group; those that lack positions and have served no read recently. */
+    int replicas, behind;
     int64_t wait_failed_at; /* when a statement last failed to get the primary */
     int64_t term_began_at;  /* when this node learned of the primary's term */
 };
--- a/proxy/holders.c
+++ b/proxy/holders.c
@@ -66,8 +66,9 @@
     return sum;
 }
 
-/* Whether the strong nodes can carry what all accounts may request. Then weak nodes, whose
- * links would be saturated by a few accounts, hold no group. */
+/* Whether the strong nodes can carry what all accounts may request. Weak nodes, whose links
+ * would be saturated by a few accounts, then hold a group only where a failure domain has no
+ * strong node. */
 static bool strong_suffice(const struct px_proxy *p, int n_strong, int64_t strong_capacity)
 {
     double statements_per_s = declared_rate(&p->catalog.accounts) * STATEMENTS_PER_OPERATION;
--- a/proxy/neighbor.c
+++ b/proxy/neighbor.c
@@ -9,8 +9,8 @@
     TRIAL_TIMEOUT_US = 200000,
     MIN_TRIAL_PAUSE_US = 250000,
     MAX_TRIAL_PAUSE_US = 2000000,
-    FLAP_US =
-        5000000, /* silent again within this time after recovering: the pause keeps growing */
+    /* Silent again within this time after recovering: the pause keeps growing. */
+    FLAP_US = 5000000,
 };
 
 void nb_received(struct nb_neighbor *n, int64_t now)
--- a/proxy/pool.c
+++ b/proxy/pool.c
@@ -7,15 +7,15 @@
 enum {
     FIRST_SERVICE_US = 15000,       /* service time assumed before any was measured */
     SUSPICION_INTERVAL_US = 100000, /* minimum interval between two reports about an instance */
-    LOST_SERVICE_TIMES = 5, /* a statement outstanding for this many service times has probably
-                               lost its answer */
-    NO_ANSWER_US =
-        300000, /* a statement unanswered for this long while nothing else was received */
+    /* A statement outstanding for this many service times has probably lost its answer. */
+    LOST_SERVICE_TIMES = 5,
+    /* A statement unanswered for this long while nothing else was received. */
+    NO_ANSWER_US = 300000,
     NO_GREETING_US = 400000, /* a connection without a greeting for this long */
-    SHARE_REQUEST_INTERVAL_US =
-        100000, /* minimum interval between requests for a share outside of regular renewals */
-    HEALTH_FRESH_US = 400000, /* an instance from which something was received within this time
-                                 counts as healthy */
+    /* Minimum interval between requests for a share outside of regular renewals. */
+    SHARE_REQUEST_INTERVAL_US = 100000,
+    /* An instance from which something was received within this time counts as healthy. */
+    HEALTH_FRESH_US = 400000,
     /* An instance that fails while others of its group do not is reported after this time, when
      * each of the group has had enough statements to tell. */
     OUTLIER_CONFIRM_US = 1000000,
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -99,24 +99,24 @@
     int n_waiters;
 
     /* reachability */
-    int64_t last_received;     /* last sign of life */
-    int64_t connect_failed_at; /* when opening a connection failed; 0: something was received
-                                  since */
-    bool wants_probe; /* an open connection was lost; a new one is to show whether the instance
-                         is alive */
+    int64_t last_received; /* last sign of life */
+    /* When opening a connection failed; 0: something was received since. */
+    int64_t connect_failed_at;
+    /* An open connection was lost; a new one is to show whether the instance is alive. */
+    bool wants_probe;
     int64_t suspicion_sent_at; /* when a suspicion was last reported to the entry role */
 
     /* service quality */
     struct px_window window;
     struct px_outlier outlier;
-    bool wants_handover;     /* it is the primary and should hand over its role */
-    int64_t outlier_since;   /* since when it fails while others of its group do not; 0: it does
-                                not */
+    bool wants_handover; /* it is the primary and should hand over its role */
+    /* Since when it fails while others of its group do not; 0: it does not. */
+    int64_t outlier_since;
     int64_t service_us;      /* smoothed time of a statement */
     double service_factor;   /* its service times relative to the group's; px_service_times */
     struct ps_pos known_pos; /* the last position that it reported */
-    int64_t behind_until;   /* it lacked a position; no read of a later one than known_pos until
-                               then */
+    /* It lacked a position; no read of a later one than known_pos until then. */
+    int64_t behind_until;
     int64_t read_served_at; /* when it last served a read */
 };
 
@@ -127,8 +127,9 @@
     struct px_inst *inst[VW_MAX_INSTANCES]; /* indexed like cfg.inst */
     struct px_service_times service_times;
     struct rt_group rt; /* only the samples of the primary's position are used */
-    bool held; /* this node has connections to its instances; otherwise sessions are relayed to
-                  a holder */
+    /* This node has connections to its instances; otherwise sessions are relayed to a
+     * holder. */
+    bool held;
     bool connects_first; /* this node is among `holders` */
     int64_t released_at; /* when this node stopped holding it */
     /* Indices into the proxy's nodes: the holders, or where all nodes hold the group, those
@@ -139,12 +140,12 @@
      * is needed. */
     struct pl_placement *placements;
     struct px_handover handover;
-    int64_t wait_failed_at;  /* when a statement last failed to get the primary */
-    int64_t term_began_at;   /* when this node learned of its term */
-    int64_t settle_deadline; /* planned change of primary: statements at the old primary may end
-                                until then */
-    int64_t primary_refused_at; /* when the instance that the view names as primary refused that
-                                   role */
+    int64_t wait_failed_at; /* when a statement last failed to get the primary */
+    int64_t term_began_at;  /* when this node learned of its term */
+    /* Planned change of primary: statements at the old primary may end until then. */
+    int64_t settle_deadline;
+    /* When the instance that the view names as primary refused that role. */
+    int64_t primary_refused_at;
 };
 
 /* What a session's statement waits for. */
@@ -261,8 +262,8 @@
     int port;
     int n_relays; /* relays that refer to it */
     struct nb_neighbor status;
-    int64_t passed_on_at; /* when it last passed a session on to a holder that this node does
-                             not reach */
+    /* When it last passed a session on to a holder that this node does not reach. */
+    int64_t passed_on_at;
     struct nt_conn *trial_conn;
     char database[CG_NAME]; /* database of the last session relayed there; used by trials */
     char key[AC_KEY];
@@ -470,9 +471,8 @@
                                 bool seeks, int64_t now);
 
 /* neighbors.c: the state of the other nodes, and trials of them */
-enum {
-    PX_PASSED_ON_RECENTLY_US = 5000000
-}; /* a node that passed a session on within this time probably does it again */
+/* A node that passed a session on within this time probably does it again. */
+enum { PX_PASSED_ON_RECENTLY_US = 5000000 };
 
 enum nb_rank px_neighbor_rank(const struct px_proxy *p, const struct ho_node *node,
                               int64_t now);
--- a/proxy/read_choice.c
+++ b/proxy/read_choice.c
@@ -16,8 +16,8 @@
      * statements waiting. */
     FAIL_FACTOR = 8,
     FAIL_RETRY_US = 20000, /* the retry, however short the statement is */
-    NOISE_PERCENT =
-        10, /* random part, so that nodes with equal knowledge choose different instances */
+    /* Random part, so that nodes with equal knowledge choose different instances. */
+    NOISE_PERCENT = 10,
 };
 
 /* Whether it recently lacked a position and has not reported the floor since. */
--- a/proxy/read_choice.h
+++ b/proxy/read_choice.h
@@ -22,8 +22,8 @@
     double fail_rate;        /* recent failure rate, 0 to 1; px_outlier_failure_rate */
     int distance;            /* 0: the same failure domain, 1: another, 2: another region */
     struct ps_pos known_pos; /* the last position that it reported */
-    int64_t behind_until;    /* it lacked a position; no read with a floor above known_pos until
-                                then */
+    /* It lacked a position; no read with a floor above known_pos until then. */
+    int64_t behind_until;
 };
 
 /* Returns the index of the instance; -1 if none is usable or all usable ones lack the floor.
--- a/proxy/window.c
+++ b/proxy/window.c
@@ -1,8 +1,8 @@
 #include "proxy/window.h"
 
-/* Additive increase and multiplicative decrease. */
-/* All nodes that share an instance may begin at the same time. With an initial size of eight,
- * sixteen nodes sent 128 statements to an instance with a queue of 24 after a loss of all
+/* The window follows additive increase and multiplicative decrease. It begins with one
+ * statement because all nodes that share an instance may begin at the same time: with eight
+ * each, sixteen nodes sent 128 statements to an instance with a queue of 24 after a loss of all
  * power, and 2,000 statements in 0.2 s were refused as busy. With one each they fit, and the
  * window grows with each answer. */
 #define INITIAL_SIZE 1.0
@@ -15,8 +15,8 @@
 /* Statements differ in work; only a mean far above the baseline indicates a queue. */
 #define SLOW_FACTOR 3.0
 #define SLOW_MARGIN_US 25000.0
-#define BASELINE_GROWTH                                                                        \
-    1.0005 /* lets the baseline follow an instance that became slower permanently */
+/* Lets the baseline follow an instance that became slower permanently. */
+#define BASELINE_GROWTH 1.0005
 #define INITIAL_TIME_US 15000.0
 
 void px_window_init(struct px_window *w)
--- a/route/holders.h
+++ b/route/holders.h
@@ -22,8 +22,8 @@
     char domain[32];
     char ip[46]; /* for callers and for relayed sessions */
     int port;
-    int carries; /* statements per second that it can serve for others, route/capacity.h; 0:
-                    unknown */
+    /* Statements per second that it can serve for others, route/capacity.h; 0: unknown. */
+    int carries;
     /* set by ho_prepare: */
     uint64_t hash;    /* hash of the name */
     int domain_index; /* index of the failure domain, below HO_DOMAINS */
