--- a/bench/decisions.c
+++ b/bench/decisions.c
@@ -28,11 +28,11 @@
     g.starts[0] = (struct ps_start){1, 0};
     for (int i = 0; i < 3; i++)
         g.inst[i] = (struct rt_inst){.usable = true, .limit = 4, .applied = {1, 1000}};
-    for (int i = 0; i < RT_SAMPLES; i++)
-        rt_primary_at(&g, CK_MS(25) * i, (struct ps_pos){1, (uint64_t)i});
+    for (int i = 0; i < RT_MAX_SAMPLES; i++)
+        rt_record_primary_pos(&g, CK_MS(25) * i, (struct ps_pos){1, (uint64_t)i});
     for (int i = 0; i < n; i++) {
         struct rt_query q = {true, {1, 900}, CK_MS(500), CK_MS(10)};
-        keep += (uint64_t)rt_read(&g, &q, 0, CK_MS(25) * RT_SAMPLES).inst;
+        keep += (uint64_t)rt_choose_for_read(&g, &q, 0, CK_MS(25) * RT_MAX_SAMPLES).inst;
     }
 }
 
@@ -83,7 +83,7 @@
         uint64_t node = (uint64_t)(i % 12) + 1;
         sh_report(&t, "i", node, 1, i % 5, UINT64_MAX - 1, CK_SEC(100), 0);
         keep += sh_balance(&t, "i", 0);
-        keep += (uint64_t)sh_tell(&t, "i", node, 1);
+        keep += (uint64_t)sh_target_to_send(&t, "i", node, 1);
     }
 }
 
@@ -105,7 +105,7 @@
         uint64_t node = (uint64_t)(i % HOLDERS) + 1;
         snprintf(id, sizeof(id), "db%d", i * 7 % INSTANCES);
         keep += sh_report(&t, id, node, 1, 1, UINT64_MAX - 1, CK_SEC(100), 0);
-        keep += sh_untold(&t, id, node);
+        keep += sh_has_unsent_target(&t, id, node);
     }
 }
 
--- a/control/control.h
+++ b/control/control.h
@@ -200,7 +200,7 @@
     int n_conns;
     struct ct_peer *peers;
     struct nt_listener *peer_listener, *ops_listener;
-    struct nl_book nodes; /* the listed entry nodes, as of nodes_built_at */
+    struct nl_history nodes; /* the listed entry nodes, as of nodes_built_at */
     int64_t nodes_built_at;
     struct wr_decoder dec;
     struct nt_timer tick_timer, group_tick_timer;
--- a/control/nodes.c
+++ b/control/nodes.c
@@ -158,11 +158,11 @@
     for (uint32_t i = 0; i < r->n; i++) {
         char id[VW_NAME];
         bool valid = sr_copy(id, sizeof(id), r->shares[i].inst);
-        if (!valid || (c->shares_sent && !sh_untold(&n->shares, id, c->id)))
+        if (!valid || (c->shares_sent && !sh_has_unsent_target(&n->shares, id, c->id)))
             continue;
         s[k++] = (struct wr_share){
             .inst = r->shares[i].inst,
-            .held = (uint32_t)sh_tell(&n->shares, id, c->id, n->shares_seq + 1)};
+            .held = (uint32_t)sh_target_to_send(&n->shares, id, c->id, n->shares_seq + 1)};
     }
     if (k > 0 || permits > 0) {
         struct wr_msg m = {.type = WR_SHARES};
@@ -221,7 +221,7 @@
             k += fill_node(c, &list[k]);
     }
     uint64_t hash = nl_sort(list, k);
-    nl_note(&n->nodes, list, k, hash);
+    nl_record(&n->nodes, list, k, hash);
     free(list);
 }
 
@@ -233,19 +233,19 @@
 
 static void encode_nodes(const struct nl_change *ch, bool known, struct sr_buf *out)
 {
-    struct wr_node *added = sr_alloc(sizeof(*added) * (size_t)(ch->n_came + 1));
-    struct sr_str *removed = sr_alloc(sizeof(*removed) * (size_t)(ch->n_gone + 1));
+    struct wr_node *added = sr_alloc(sizeof(*added) * (size_t)(ch->n_added + 1));
+    struct sr_str *removed = sr_alloc(sizeof(*removed) * (size_t)(ch->n_removed + 1));
     struct wr_msg m = {.type = WR_NODES,
-                       .nodes = {.n = (uint32_t)ch->n_came,
+                       .nodes = {.n = (uint32_t)ch->n_added,
                                  .nodes = added,
                                  .from = ch->from,
                                  .to = known ? ch->to : 0,
-                                 .n_gone = (uint32_t)ch->n_gone,
+                                 .n_gone = (uint32_t)ch->n_removed,
                                  .gone = removed}};
-    for (int i = 0; i < ch->n_came; i++)
-        added[i] = wire_node(ch->came[i]);
-    for (int i = 0; i < ch->n_gone; i++)
-        removed[i] = sr_from(ch->gone[i]);
+    for (int i = 0; i < ch->n_added; i++)
+        added[i] = wire_node(ch->added[i]);
+    for (int i = 0; i < ch->n_removed; i++)
+        removed[i] = sr_from(ch->removed[i]);
     wr_encode(out, &m);
     free(added);
     free(removed);
--- a/entry/link.c
+++ b/entry/link.c
@@ -71,7 +71,7 @@
             uint32_t has = (uint32_t)held(in), want = (uint32_t)wanted(in);
             if (!n->groups[g]->held)
                 want = 0;
-            if (sh_to_name(&in->named, has, want))
+            if (sh_name_in_renewal(&in->named, has, want))
                 shares[k++] = (struct wr_share){sr_from(in->cfg.id), has, want};
         }
     }
@@ -273,12 +273,12 @@
     struct nl_change ch = {.from = m->from, .to = m->to};
     for (uint32_t i = 0; i < m->n; i++) {
         if (read_node(&m->nodes[i], &named[i]))
-            ch.came[ch.n_came++] = &named[i];
+            ch.added[ch.n_added++] = &named[i];
     }
     for (uint32_t i = 0; i < m->n_gone; i++) {
         struct ho_node *x = &named[m->n + i];
         if (sr_copy(x->name, sizeof(x->name), m->gone[i]))
-            ch.gone[ch.n_gone++] = x->name;
+            ch.removed[ch.n_removed++] = x->name;
     }
     bool taken = nl_apply(n->nodes, &n->n_nodes, &n->nodes_hash, &ch);
     free(named);
@@ -469,17 +469,17 @@
     l->open = true;
     rd_opened(&l->line);
     struct wr_msg m = {.type = WR_HELLO};
-    m.hello =
-        (struct wr_hello){.version = WR_VERSION,
-                          .cluster = sr_from(s->cluster),
-                          .name = sr_from(s->name),
-                          .domain = sr_from(s->domain),
-                          .ip = sr_from(s->entry_ip),
-                          .port = (uint32_t)callers_port(s),
-                          .role = s->observer ? WR_ROLE_OBSERVER : WR_ROLE_ENTRY,
-                          .id = l->node->id,
-                          .carries = (uint32_t)cp_statements(s->link_kbps, s->core_permille),
-                          .http = (uint32_t)s->entry_port};
+    m.hello = (struct wr_hello){
+        .version = WR_VERSION,
+        .cluster = sr_from(s->cluster),
+        .name = sr_from(s->name),
+        .domain = sr_from(s->domain),
+        .ip = sr_from(s->entry_ip),
+        .port = (uint32_t)callers_port(s),
+        .role = s->observer ? WR_ROLE_OBSERVER : WR_ROLE_ENTRY,
+        .id = l->node->id,
+        .carries = (uint32_t)cp_statements_per_s(s->link_kbps, s->core_permille),
+        .http = (uint32_t)s->entry_port};
     send_msg(l, &m);
 }
 
--- a/proxy/neighbors.c
+++ b/proxy/neighbors.c
@@ -1,6 +1,6 @@
-/* The other entry nodes that this one relays to, and its trials of those that are silent: a
- * connection that asks for a greeting, as a relayed session does. What is believed is decided
- * at neighbor.c. */
+/* The other entry nodes that this one relays to, and trials of those that are silent. A trial
+ * is a connection that opens a session as a relay does and waits for the greeting. neighbor.c
+ * decides the state of a node. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -76,7 +76,8 @@
 
 /* ---- trials ---- */
 
-/* It may be this node that is cut off: the others are tried before they are asked. */
+/* This node itself may be disconnected, so the other neighbors are tried before sessions rely
+ * on them. */
 static void doubt_others(struct px_proxy *p)
 {
     for (struct px_neighbor *nb = p->neighbors; nb; nb = nb->next) {
@@ -88,11 +89,11 @@
 static void end_trial(struct px_neighbor *nb, bool answered)
 {
     enum nb_state before = nb->status.state;
-    nb_trial_over(&nb->status, answered, ck_now());
+    nb_trial_ended(&nb->status, answered, ck_now());
     if (before == NB_DOUBTED && !answered)
         doubt_others(nb->p);
     if (nb->status.state == before || (before == NB_DOUBTED && answered))
-        return; /* a doubt that was none */
+        return; /* the doubt was unfounded */
     FL_EVENT(&nb->p->log, LG_INFO, "neighbor_changed", "name=%s state=%s was=%s relayed=%d",
              nb->name, state_names[nb->status.state], state_names[before], nb->n_relays);
 }
@@ -100,11 +101,11 @@
 static void on_open(struct nt_conn *net, void *ud)
 {
     struct px_neighbor *nb = ud;
-    nb_tried(&nb->status, ck_now());
+    nb_trial_began(&nb->status, ck_now());
     px_relay_hello(nb->p, net, nb->database, nb->key, PX_HELLO_TRIAL);
 }
 
-/* Whatever it says, its process runs. */
+/* Any message shows that the node's process runs. */
 static void on_message(struct nt_conn *net, void *ud, const char *data, size_t len)
 {
     struct px_neighbor *nb = ud;
@@ -115,7 +116,7 @@
     nt_forget(net);
 }
 
-/* Closed before a greeting: it is there if it was reached. */
+/* Closed before a greeting: the node is alive if the connection was opened. */
 static void on_close(struct nt_conn *net, void *ud, bool opened, bool refused)
 {
     struct px_neighbor *nb = ud;
@@ -130,7 +131,7 @@
 static void start_trial(struct px_neighbor *nb, int64_t now)
 {
     struct px_proxy *p = nb->p;
-    nb_tried(&nb->status, now);
+    nb_trial_began(&nb->status, now);
     p->c.trials++;
     nb->trial_conn = nt_connect_stream(p->loop, nb->ip, nb->port, &trial_ops, nb);
     px_meter(p, nb->trial_conn, PX_PEER_NODE, nb->domain);
@@ -145,9 +146,9 @@
 
 void px_neighbors_tick(struct px_proxy *p, int64_t now)
 {
-    int64_t heard = px_received_until(p);
+    int64_t received_until = px_received_until(p);
     for (struct px_neighbor *nb = p->neighbors; nb; nb = nb->next) {
-        if (nb->trial_conn && nb_trial_late(&nb->status, heard))
+        if (nb->trial_conn && nb_trial_late(&nb->status, received_until))
             abandon_trial(nb);
         else if (nb_trial_due(&nb->status, now) && (nb->n_relays > 0 || is_listed(p, nb->name)))
             start_trial(nb, now);
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -92,7 +92,7 @@
         for (int i = 0; i < p->groups[g]->cfg.n && k < cap; i++) {
             struct px_inst *in = p->groups[g]->inst[i];
             add_want(in, &out[k]);
-            if (sh_to_name(&in->renewals_left, out[k].held, out[k].want))
+            if (sh_name_in_renewal(&in->renewals_left, out[k].held, out[k].want))
                 k++;
         }
     }
@@ -108,7 +108,7 @@
 
 void px_share(struct px_proxy *p, struct sr_str id, int connections)
 {
-    struct px_inst *in = px_inst(p, id);
+    struct px_inst *in = px_find_inst(p, id);
     if (!in)
         return;
     in->share = connections;
@@ -330,11 +330,11 @@
 int px_account_nodes(struct px_proxy *p, const char *group, const char *account,
                      const char *nodes[HO_MAX_HOLDERS])
 {
-    struct px_group *g = px_group(p, group);
-    const struct sp_place *place = g ? px_account_placement(g, account) : NULL;
+    struct px_group *g = px_find_group(p, group);
+    const struct pl_placement *place = g ? px_account_placement(g, account) : NULL;
     int n = place ? place->n : 0;
     for (int k = 0; k < n; k++)
-        nodes[k] = p->nodes[g->holders[place->at[k]]].name;
+        nodes[k] = p->nodes[g->holders[place->holder[k]]].name;
     return n;
 }
 
