--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -235,7 +235,7 @@
     int64_t waiting_since;
     int64_t retry_at; /* PX_S_PARKED: looked at again then */
     int64_t sent_at;
-    int64_t stage_since; /* its present px_part began */
+    int64_t stage_since; /* its present px_latency_stage began */
     int attempts;        /* those that count against the route's */
     int offers;          /* how often it was sent */
     unsigned skip_mask;  /* bits of instances that could not serve it */
@@ -512,7 +512,7 @@
 /* The statement is over, or its session is; nothing is told. */
 void px_end_work(struct px_session *s);
 /* The statement's present stage is over, and is counted as that part. */
-void px_stage_done(struct px_session *s, enum px_part part);
+void px_stage_done(struct px_session *s, enum px_latency_stage part);
 /* Look at it again at that time, or in the first tick after. */
 void px_park(struct px_session *s, int64_t until);
 /* Another try, at once or later. False: it counts, and there were as many as are allowed. */
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -242,7 +242,7 @@
     const struct {
         const char *peer;
         uint64_t n;
-    } rows[] = {{"instance", p->stages.part[PX_T_SETUP].count},
+    } rows[] = {{"instance", p->stages.hist[PX_T_SETUP].count},
                 {"node", p->c.statements_relayed},
                 {"asker", p->c.statements_served}};
     for (size_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++)
--- a/proxy/relay.c
+++ b/proxy/relay.c
@@ -256,7 +256,7 @@
     r->txn = m.txn;
     r->rests = m.txn == PX_IDLE;
     if (r->asked && r->greeted) {
-        px_stage(&r->s->p->stages, PX_T_RELAY, ck_now() - r->asked_at);
+        px_stages_add(&r->s->p->stages, PX_T_RELAY, ck_now() - r->asked_at);
         r->s->p->c.statements_relayed++;
     }
     r->asked = false;
--- a/proxy/stages.c
+++ b/proxy/stages.c
@@ -2,9 +2,9 @@
 
 static const char *const names[PX_T_PARTS] = {"permit", "wait", "setup", "instance", "relay"};
 
-void px_stage(struct px_stages *t, enum px_part part, int64_t us)
+void px_stages_add(struct px_stages *t, enum px_latency_stage part, int64_t us)
 {
-    hi_add(&t->part[part], us);
+    hi_add(&t->hist[part], us);
     t->n[part]++;
     t->sum_us[part] += us;
 }
@@ -30,11 +30,11 @@
         for (int q = 0; q < 3; q++)
             sr_buf_printf(out, "ferry_session_stage_us{stage=\"%s\",quantile=\"%g\"} %lld\n",
                           names[i], quantiles[q],
-                          (long long)hi_quantile(&t->part[i], quantiles[q]));
+                          (long long)hi_quantile(&t->hist[i], quantiles[q]));
         sr_buf_printf(out,
                       "ferry_session_stage_us_count{stage=\"%s\"} %llu\n"
                       "ferry_session_stage_us_sum{stage=\"%s\"} %llu\n",
-                      names[i], (unsigned long long)t->part[i].count, names[i],
-                      (unsigned long long)t->part[i].sum);
+                      names[i], (unsigned long long)t->hist[i].count, names[i],
+                      (unsigned long long)t->hist[i].sum);
     }
 }
--- a/proxy/stages.h
+++ b/proxy/stages.h
@@ -11,7 +11,7 @@
 #include "misc/hist.h"
 #include "misc/str.h"
 
-enum px_part {
+enum px_latency_stage {
     PX_T_PERMIT,   /* until it may begin */
     PX_T_WAIT,     /* for a connection: parked, in a queue, while one is opened */
     PX_T_SETUP,    /* values, prepared names and BEGIN on the connection */
@@ -22,12 +22,12 @@
 
 /* Since the last report, and since the start. */
 struct px_stages {
-    struct hi_hist part[PX_T_PARTS];
+    struct hi_hist hist[PX_T_PARTS];
     uint64_t n[PX_T_PARTS];
     int64_t sum_us[PX_T_PARTS];
 };
 
-void px_stage(struct px_stages *t, enum px_part part, int64_t us);
+void px_stages_add(struct px_stages *t, enum px_latency_stage part, int64_t us);
 /* "permit=12/0.4 wait=...": statements and their mean in ms, by stage; starts anew. False:
  * there was none since the last report. */
 bool px_stages_report(struct px_stages *t, struct sr_buf *out);
--- a/proxy/work.c
+++ b/proxy/work.c
@@ -22,10 +22,10 @@
 
 /* ---- beginning and ending ---- */
 
-void px_stage_done(struct px_session *s, enum px_part part)
+void px_stage_done(struct px_session *s, enum px_latency_stage part)
 {
     int64_t now = ck_now();
-    px_stage(&s->p->stages, part, now - s->stage_since);
+    px_stages_add(&s->p->stages, part, now - s->stage_since);
     s->stage_since = now;
 }
 
--- a/tests/unit/test_pace.c
+++ b/tests/unit/test_pace.c
@@ -73,9 +73,9 @@
     static struct px_stages t;
     struct sr_buf b = {0};
     CU_ASSERT_FALSE(px_stages_report(&t, &b));
-    px_stage(&t, PX_T_WAIT, 1000);
-    px_stage(&t, PX_T_WAIT, 4000);
-    px_stage(&t, PX_T_INSTANCE, 8200);
+    px_stages_add(&t, PX_T_WAIT, 1000);
+    px_stages_add(&t, PX_T_WAIT, 4000);
+    px_stages_add(&t, PX_T_INSTANCE, 8200);
     b.len = 0;
     CU_ASSERT_TRUE(px_stages_report(&t, &b));
     sr_buf_add(&b, "", 1);
