--- a/entry/link.c
+++ b/entry/link.c
@@ -119,7 +119,7 @@
 static bool renewal_due(struct en_node *n, int64_t now)
 {
     int64_t by = n->awaiting ? nt_heard_until(n->loop) : now; /* its answer may have come */
-    return by >= n->next_renew || (!n->awaiting && n->px && px_has_news(n->px));
+    return by >= n->next_renew || (!n->awaiting && n->px && px_has_changes(n->px));
 }
 
 /* A few renewals a lease; one that is not answered in time goes to the next control node. */
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -312,7 +312,7 @@
     struct ix_index account_at;  /* numbers in `accounts` */
     int64_t permits_expire_at;   /* they end */
     bool permits_unreported;     /* the leader does not know what there is */
-    bool has_changes;            /* instances came, or groups to hold, since px_has_news */
+    bool has_changes;            /* instances came, or groups to hold, since px_has_changes */
     int64_t leased_at;           /* when the lease was live last */
     int64_t last_seek_at;        /* a session looked for a node that passes it on */
     int64_t isolated_until;      /* cut off, and no other node answers: none is asked before */
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -98,7 +98,7 @@
     return k;
 }
 
-bool px_has_news(struct px_proxy *p)
+bool px_has_changes(struct px_proxy *p)
 {
     bool changes = p->has_changes;
     p->has_changes = false;
--- a/proxy/proxy.h
+++ b/proxy/proxy.h
@@ -54,7 +54,7 @@
 uint32_t px_wants(struct px_proxy *p, struct wr_share *out, uint32_t cap);
 /* Whether there are connections to ask for that no renewal has named, since this was asked
  * last: instances came to the view, or groups to hold. */
-bool px_has_news(struct px_proxy *p);
+bool px_has_changes(struct px_proxy *p);
 /* The entry nodes with a lease; strings and hashes as ho_prepare leaves them. */
 void px_nodes(struct px_proxy *p, const struct ho_node *nodes, int n);
 /* How many connections to the instance this node may have from now on. */
--- a/tests/unit/test_accounts.c
+++ b/tests/unit/test_accounts.c
@@ -422,9 +422,9 @@
     end();
     begin(TWO, 0);
     a = call("STARTUP db key1");
-    px_has_news(w.p);
+    px_has_changes(w.p);
     CU_ASSERT_FALSE(asks(a, "QUERY q1 READ x", "COMPLETE x"));
-    CU_ASSERT_TRUE(px_has_news(w.p));
+    CU_ASSERT_TRUE(px_has_changes(w.p));
     CU_ASSERT(wanted() >= 1);
     px_share(w.p, SR_LIT("i"), 1);
     run_for(WAIT_MS);
--- a/tests/unit/test_holding.c
+++ b/tests/unit/test_holding.c
@@ -110,7 +110,7 @@
     on_hear(loop);
     px_tick(p, ck_now());
     CU_ASSERT_EQUAL(wanted(p), 0);
-    px_has_news(p);
+    px_has_changes(p);
     int sum = 0, holders = 0;
     for (int i = 0; i < NODES; i++) {
         snprintf(node_name, sizeof(node_name), "n%d", i);
@@ -121,7 +121,7 @@
     }
     CU_ASSERT(holders > 0 && sum > 0);
     CU_ASSERT(sum <= GROUPS * COPIES * HO_MAX_HOLDERS);
-    CU_ASSERT_TRUE(px_has_news(p)); /* asked for at once, not with the next renewal due */
+    CU_ASSERT_TRUE(px_has_changes(p)); /* asked for at once, not with the next renewal due */
     ck_resume();
 }
 
@@ -152,7 +152,7 @@
     ck_pause(START_US);
     struct px_proxy *p = make_proxy();
     show_view(p);
-    px_has_news(p);
+    px_has_changes(p);
     CU_ASSERT_EQUAL(wanted(p), 0);
     ck_advance(NO_LIST_US);
     px_tick(p, ck_now());
@@ -160,7 +160,7 @@
     on_hear(loop);
     px_tick(p, ck_now());
     CU_ASSERT_EQUAL(wanted(p), GROUPS * COPIES);
-    CU_ASSERT_TRUE(px_has_news(p));
+    CU_ASSERT_TRUE(px_has_changes(p));
     ck_resume();
 }
 
