--- a/entry/link.c
+++ b/entry/link.c
@@ -76,7 +76,7 @@
         }
     }
     if (n->px)
-        k = px_wants(n->px, shares, cap);
+        k = px_wanted_shares(n->px, shares, cap);
     n->c.renewed += k;
     struct wr_msg m = {.type = WR_RENEW};
     m.renew = (struct wr_renew){.seq = ls_sent(&n->lease, now),
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -84,7 +84,7 @@
         in->peak = in->busy + in->n_waiters;
 }
 
-uint32_t px_wants(struct px_proxy *p, struct wr_share *out, uint32_t cap)
+uint32_t px_wanted_shares(struct px_proxy *p, struct wr_share *out, uint32_t cap)
 {
     uint32_t k = 0;
     for (int g = 0; g < p->n_groups; g++) {
--- a/proxy/proxy.h
+++ b/proxy/proxy.h
@@ -51,7 +51,7 @@
 bool px_settled(const struct px_proxy *p);
 /* Connections held and wanted, an entry for each instance that the next renewal is to name;
  * returns how many. */
-uint32_t px_wants(struct px_proxy *p, struct wr_share *out, uint32_t cap);
+uint32_t px_wanted_shares(struct px_proxy *p, struct wr_share *out, uint32_t cap);
 /* Whether there are connections to ask for that no renewal has named, since this was asked
  * last: instances came to the view, or groups to hold. */
 bool px_has_changes(struct px_proxy *p);
--- a/tests/unit/test_accounts.c
+++ b/tests/unit/test_accounts.c
@@ -386,7 +386,7 @@
 static int wanted(void)
 {
     struct wr_share s[4];
-    uint32_t n = px_wants(w.p, s, 4);
+    uint32_t n = px_wanted_shares(w.p, s, 4);
     int sum = 0;
     for (uint32_t i = 0; i < n; i++)
         sum += (int)s[i].want;
--- a/tests/unit/test_holding.c
+++ b/tests/unit/test_holding.c
@@ -91,7 +91,7 @@
 static int wanted(struct px_proxy *p)
 {
     struct wr_share s[GROUPS * COPIES];
-    uint32_t n = px_wants(p, s, GROUPS * COPIES);
+    uint32_t n = px_wanted_shares(p, s, GROUPS * COPIES);
     int sum = 0;
     for (uint32_t i = 0; i < n; i++)
         sum += (int)s[i].want;
