--- a/entry/link.c
+++ b/entry/link.c
@@ -164,7 +164,7 @@
     if (n->px && g->knows_permits)
         px_permits_renewed(n->px, ls_sent_at(&n->lease, g->seq));
     else if (n->px)
-        px_permits_tell(n->px);
+        px_permits_report_all(n->px);
     if (!n->had_lease && en_leased(n)) {
         n->had_lease = true;
         FL_EVENT(&n->log, LG_INFO, "lease_held", "generation=%llu",
--- a/proxy/limits.c
+++ b/proxy/limits.c
@@ -146,7 +146,7 @@
     }
 }
 
-void px_permits_tell(struct px_proxy *p)
+void px_permits_report_all(struct px_proxy *p)
 {
     p->permits_unreported = true;
 }
