--- a/entry/link.c
+++ b/entry/link.c
@@ -141,7 +141,7 @@
 void en_give_back(struct en_node *n)
 {
     if (n->px)
-        px_permits_end(n->px);
+        px_permits_discard(n->px);
     if (leader(n))
         renew(n, leader(n), ck_now(), true);
 }
--- a/proxy/limits.c
+++ b/proxy/limits.c
@@ -49,7 +49,7 @@
         p->permits_expire_at = until;
 }
 
-void px_permits_end(struct px_proxy *p)
+void px_permits_discard(struct px_proxy *p)
 {
     throw_away(p);
     p->permits_expire_at = 0;
--- a/proxy/proxy.h
+++ b/proxy/proxy.h
@@ -68,7 +68,7 @@
 /* The same without an answer; the leader knows of all permits here. */
 void px_permits_renewed(struct px_proxy *p, int64_t sent);
 /* The lease is given back: they end. */
-void px_permits_end(struct px_proxy *p);
+void px_permits_discard(struct px_proxy *p);
 /* The leader does not know of them: the next renewal tells it all. */
 void px_permits_report_all(struct px_proxy *p);
 /* The lease is lost: others may be given what this node held, but for one connection an
