--- a/proxy/limits.c
+++ b/proxy/limits.c
@@ -130,7 +130,8 @@
     }
 }
 
-void px_permits(struct px_proxy *p, int64_t sent, const struct wr_permit *permits, uint32_t n)
+void px_permits_granted(struct px_proxy *p, int64_t sent, const struct wr_permit *permits,
+                        uint32_t n)
 {
     if (sent + LM_LIFE_US <= ck_now())
         return; /* a VM that was frozen: the leader has forgotten them */
