--- a/entry/link.c
+++ b/entry/link.c
@@ -89,7 +89,7 @@
                                 .leaving = n->stopping,
                                 .nodes = n->nodes_hash};
     if (n->px)
-        px_permit_wants(n->px, &m.renew);
+        px_permit_requests(n->px, &m.renew);
     send_msg(l, &m);
     free(m.renew.permits);
     free(shares);
--- a/proxy/limits.c
+++ b/proxy/limits.c
@@ -98,7 +98,7 @@
 
 /* ---- renewals ---- */
 
-void px_permit_wants(struct px_proxy *p, struct wr_renew *r)
+void px_permit_requests(struct px_proxy *p, struct wr_renew *r)
 {
     struct wr_permit_ask *out = sr_alloc(sizeof(*out) * (size_t)(p->n_accounts + 1));
     end_if_due(p, ck_now());
--- a/proxy/proxy.h
+++ b/proxy/proxy.h
@@ -61,7 +61,7 @@
 void px_share(struct px_proxy *p, struct sr_str inst, int connections);
 /* What the next renewal says of client accounts' permits, to *r; the list is the caller's to
  * free. Each call is a renewal that goes out. */
-void px_permit_wants(struct px_proxy *p, struct wr_renew *r);
+void px_permit_requests(struct px_proxy *p, struct wr_renew *r);
 /* The leader's answer to a renewal that was sent then; all permits that are here live on for
  * LM_LIFE_US from there. */
 void px_permits_granted(struct px_proxy *p, int64_t sent, const struct wr_permit *permits,
