--- a/entry/ops.c
+++ b/entry/ops.c
@@ -161,7 +161,7 @@
  * which node; of one that is named, group by group. */
 static json_t *places(struct en_node *n, const char *account)
 {
-    const char *names[PX_ACCOUNTS_TOLD];
+    const char *names[PX_ACCOUNTS_LISTED];
     if (!n->px)
         return json_object();
     if (account[0])
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -274,10 +274,10 @@
     return a;
 }
 
-int px_accounts_by_use(const struct px_proxy *p, const char *names[PX_ACCOUNTS_TOLD])
+int px_accounts_by_use(const struct px_proxy *p, const char *names[PX_ACCOUNTS_LISTED])
 {
     const struct px_account **a = by_use(p);
-    int n = p->n_accounts < PX_ACCOUNTS_TOLD ? p->n_accounts : PX_ACCOUNTS_TOLD;
+    int n = p->n_accounts < PX_ACCOUNTS_LISTED ? p->n_accounts : PX_ACCOUNTS_LISTED;
     for (int i = 0; i < n; i++)
         names[i] = a[i]->name;
     free(a);
@@ -312,7 +312,7 @@
     const struct px_account **a = by_use(p);
     struct px_account rest = {0};
     for (int i = 0; i < p->n_accounts; i++) {
-        if (i < PX_ACCOUNTS_TOLD) {
+        if (i < PX_ACCOUNTS_LISTED) {
             put_account(out, a[i]->name, a[i]->begun, a[i]->refused, a[i]->permits.held);
             put_limit(out, ac_by_name(&p->catalog.accounts, a[i]->name));
         } else {
@@ -321,7 +321,7 @@
             rest.permits.held += a[i]->permits.held;
         }
     }
-    if (p->n_accounts > PX_ACCOUNTS_TOLD)
+    if (p->n_accounts > PX_ACCOUNTS_LISTED)
         put_account(out, "-", rest.begun, rest.refused, rest.permits.held);
     free(a);
 }
--- a/proxy/proxy.h
+++ b/proxy/proxy.h
@@ -92,10 +92,10 @@
 bool px_stopped(const struct px_proxy *p, int64_t now);
 /* Append lines for /metrics. */
 void px_metrics(const struct px_proxy *p, struct sr_buf *out);
-enum { PX_ACCOUNTS_TOLD = 64 }; /* accounts that metrics and pages name, at most */
+enum { PX_ACCOUNTS_LISTED = 64 }; /* accounts that metrics and pages name, at most */
 /* The accounts that began or were refused most here, most first, to `names`; returns how many.
  */
-int px_accounts_by_use(const struct px_proxy *p, const char *names[PX_ACCOUNTS_TOLD]);
+int px_accounts_by_use(const struct px_proxy *p, const char *names[PX_ACCOUNTS_LISTED]);
 /* The nodes at which an account's sessions meet in the group, to `nodes`; returns how many. */
 int px_account_nodes(struct px_proxy *p, const char *group, const char *account,
                      const char *nodes[HO_MAX_HOLDERS]);
