--- a/proxy/conn.c
+++ b/proxy/conn.c
@@ -389,7 +389,7 @@
     struct px_conn *c = ud;
     struct px_msg m = {.kind = PX_OPEN,
                        .database = sr_from(c->inst->group->cfg.name),
-                       .who = sr_from(c->account),
+                       .identity = sr_from(c->account),
                        .expect = sr_from(c->inst->cfg.id)};
     (void)net;
     send_msg(c, &m);
--- a/proxy/relay.c
+++ b/proxy/relay.c
@@ -58,16 +58,16 @@
     size_t n = sizeof(relayed_by) - 1;
     *document = 0;
     *pass_on = false;
-    if (open->who.len < n || memcmp(open->who.p, relayed_by, n) != 0)
+    if (open->identity.len < n || memcmp(open->identity.p, relayed_by, n) != 0)
         return false;
-    if (open->who.len > n && open->who.p[n] == pass_on_mark) {
+    if (open->identity.len > n && open->identity.p[n] == pass_on_mark) {
         *pass_on = true;
         n++;
     }
-    if (open->who.len > n && open->who.p[n] != '.')
+    if (open->identity.len > n && open->identity.p[n] != '.')
         return false;
-    for (size_t i = n + 1; i < open->who.len; i++) {
-        char c = open->who.p[i];
+    for (size_t i = n + 1; i < open->identity.len; i++) {
+        char c = open->identity.p[i];
         if (c < '0' || c > '9')
             return false;
         *document = *document * 10 + (uint64_t)(c - '0');
@@ -134,7 +134,7 @@
                       (unsigned long long)p->catalog.version);
     struct px_msg m = {.kind = PX_OPEN,
                        .database = sr_from(database),
-                       .who = {who, (size_t)n},
+                       .identity = {who, (size_t)n},
                        .expect = sr_from(key)};
     p->cfg.codec->put(&b, &m);
     nt_send(net, b.p, b.len);
--- a/proxy/session.c
+++ b/proxy/session.c
@@ -55,7 +55,7 @@
     if (s->relayed_to_us)
         nt_meter(s->net, &s->p->served_traffic);
     /* One that is too long is nobody's. */
-    if (!sr_copy(s->key, sizeof(s->key), s->relayed_to_us ? m->expect : m->who))
+    if (!sr_copy(s->key, sizeof(s->key), s->relayed_to_us ? m->expect : m->identity))
         s->key[0] = 0;
     /* Closed before a greeting, so that another holder is asked. A node that is cut off from
      * control is listed for three seconds more and would refuse whatever it is asked. */
--- a/proxy/wire.h
+++ b/proxy/wire.h
@@ -37,7 +37,7 @@
 struct px_msg {
     enum px_kind kind;
     struct sr_str database;  /* PX_OPEN: of a caller the database, to an instance its group */
-    struct sr_str who;       /* PX_OPEN: any word */
+    struct sr_str identity;  /* PX_OPEN: any word */
     struct sr_str expect;    /* PX_OPEN: the instance that is meant; empty: any */
     struct sr_str id;        /* PX_STATEMENT: empty: the proxy's own */
     struct sr_str text;      /* PX_STATEMENT */
--- a/tests/unit/test_lines.c
+++ b/tests/unit/test_lines.c
@@ -20,7 +20,7 @@
 {
     struct px_msg m = parsed("STARTUP lepu270 u3f1");
     CU_ASSERT_EQUAL(m.kind, PX_OPEN);
-    CU_ASSERT_TRUE(is(m.database, "lepu270") && is(m.who, "u3f1") && m.expect.len == 0);
+    CU_ASSERT_TRUE(is(m.database, "lepu270") && is(m.identity, "u3f1") && m.expect.len == 0);
     m = parsed("QUERY 5c0e READ 1a4 and more");
     CU_ASSERT_EQUAL(m.kind, PX_STATEMENT);
     CU_ASSERT_TRUE(is(m.id, "5c0e") && is(m.text, "READ 1a4 and more"));
