--- a/proxy/relay.c
+++ b/proxy/relay.c
@@ -285,7 +285,7 @@
     if (r->left)
         return; /* what it answers now the caller was told of already */
     sr_buf_add(&r->in, data, len);
-    size_t n = px_whole_lines(&r->in, &last);
+    size_t n = px_complete_lines(&r->in, &last);
     if (n == 0) {
         if (r->in.len > PX_MAX_LINE)
             nt_close(net, true);
@@ -294,7 +294,7 @@
     bool ended = !note_last(r, last);
     if (ended) { /* for us, not for the caller */
         struct sr_buf before = {.p = r->in.p, .len = (size_t)(last.p - r->in.p)};
-        n = px_whole_lines(&before, &last);
+        n = px_complete_lines(&before, &last);
         if (n > 0)
             note_last(r, last);
     }
--- a/proxy/wire.c
+++ b/proxy/wire.c
@@ -32,7 +32,7 @@
     in->len -= n;
 }
 
-size_t px_whole_lines(const struct sr_buf *in, struct sr_str *last)
+size_t px_complete_lines(const struct sr_buf *in, struct sr_str *last)
 {
     size_t end = in->len;
     while (end > 0 && in->p[end - 1] != '\n')
--- a/proxy/wire.h
+++ b/proxy/wire.h
@@ -108,6 +108,6 @@
 
 /* How many bytes of `in` are whole lines, and the last of them, if any; it points into `in`.
  * For a stream that is only passed on: its pieces may end anywhere. */
-size_t px_whole_lines(const struct sr_buf *in, struct sr_str *last);
+size_t px_complete_lines(const struct sr_buf *in, struct sr_str *last);
 
 #endif
--- a/tests/unit/test_lines.c
+++ b/tests/unit/test_lines.c
@@ -244,7 +244,7 @@
                     continue;
                 px_consume(&in, whole); /* passed on already */
                 sr_buf_add(&in, stream + cut[k], cut[k + 1] - cut[k]);
-                whole = px_whole_lines(&in, &line);
+                whole = px_complete_lines(&in, &line);
             }
             CU_ASSERT_TRUE(whole == in.len && is(line, "READY I -"));
             sr_buf_free(&in);
@@ -254,13 +254,13 @@
     struct sr_str line;
     char longer[400];
     memset(longer, 'x', sizeof(longer));
-    CU_ASSERT_EQUAL(px_whole_lines(&in, &line), 0);
+    CU_ASSERT_EQUAL(px_complete_lines(&in, &line), 0);
     sr_buf_add(&in, longer, sizeof(longer));
-    CU_ASSERT_EQUAL(px_whole_lines(&in, &line), 0);
+    CU_ASSERT_EQUAL(px_complete_lines(&in, &line), 0);
     sr_buf_add(&in, "\n", 1);
-    CU_ASSERT_TRUE(px_whole_lines(&in, &line) == 401 && line.len == 400);
+    CU_ASSERT_TRUE(px_complete_lines(&in, &line) == 401 && line.len == 400);
     sr_buf_add(&in, "\r\nREADY", 7);
-    CU_ASSERT_TRUE(px_whole_lines(&in, &line) == 403 && line.len == 0);
+    CU_ASSERT_TRUE(px_complete_lines(&in, &line) == 403 && line.len == 0);
     sr_buf_free(&in);
 }
 
