--- a/proxy/pending.c
+++ b/proxy/pending.c
@@ -24,7 +24,7 @@
     case PX_V_BEGIN:
     case PX_V_SET:
     case PX_V_PREPARE:
-    case PX_V_FORGET:
+    case PX_V_DEALLOCATE:
         break;
     default: /* what EXECUTE does the other node knows */
         write_said(q, txn);
--- a/proxy/state.c
+++ b/proxy/state.c
@@ -81,7 +81,7 @@
     free(p->shape);
 }
 
-bool px_forget(struct px_state *s, struct sr_str name, struct er_err *err)
+bool px_deallocate(struct px_state *s, struct sr_str name, struct er_err *err)
 {
     int i = prepared_at(s, name);
     if (i < 0)
--- a/proxy/state.h
+++ b/proxy/state.h
@@ -46,7 +46,7 @@
 bool px_set(struct px_state *s, struct sr_str name, struct sr_str value, struct er_err *err);
 bool px_prepare(struct px_state *s, struct sr_str name, bool writes, struct sr_str shape,
                 struct er_err *err);
-bool px_forget(struct px_state *s, struct sr_str name, struct er_err *err);
+bool px_deallocate(struct px_state *s, struct sr_str name, struct er_err *err);
 const struct px_prepared *px_find_prepared(const struct px_state *s, struct sr_str name);
 void px_state_free(struct px_state *s);
 
--- a/proxy/statement.c
+++ b/proxy/statement.c
@@ -126,7 +126,7 @@
         return px_set(to, st->name, st->value, err);
     if (st->verb == PX_V_PREPARE)
         return px_prepare(to, st->name, st->writes, st->value, err);
-    return px_forget(to, st->name, err);
+    return px_deallocate(to, st->name, err);
 }
 
 /* Values and prepared names are the session's own: connections get them when they need them. */
@@ -174,7 +174,7 @@
         break;
     case PX_V_SET:
     case PX_V_PREPARE:
-    case PX_V_FORGET:
+    case PX_V_DEALLOCATE:
         change_state(s);
         break;
     default:
--- a/proxy/wire.h
+++ b/proxy/wire.h
@@ -62,8 +62,8 @@
     PX_V_SET,
     PX_V_PREPARE,
     PX_V_EXECUTE,
-    PX_V_FORGET,  /* a prepared name */
-    PX_V_DISCARD, /* to instances: all values and prepared names */
+    PX_V_DEALLOCATE, /* a prepared name */
+    PX_V_DISCARD,    /* to instances: all values and prepared names */
 };
 
 /* A statement's text, taken apart. */
--- a/tests/unit/test_proxy.c
+++ b/tests/unit/test_proxy.c
@@ -230,8 +230,8 @@
     /* The same name, another shape: the old one is not run. */
     CU_ASSERT_TRUE(px_prepare(&one, SR_LIT("s"), false, SR_LIT("q1"), &err));
     CU_ASSERT_EQUAL(setup(&one, &conn, px_find_prepared(&one, SR_LIT("s")), v), 1);
-    CU_ASSERT_TRUE(px_forget(&one, SR_LIT("s"), &err));
-    CU_ASSERT_FALSE(px_forget(&one, SR_LIT("s"), &err));
+    CU_ASSERT_TRUE(px_deallocate(&one, SR_LIT("s"), &err));
+    CU_ASSERT_FALSE(px_deallocate(&one, SR_LIT("s"), &err));
     CU_ASSERT_EQUAL(err.kind, ER_NO_STATEMENT);
     px_state_free(&one);
     px_state_free(&two);
