--- a/entry/link.c
+++ b/entry/link.c
@@ -76,7 +76,7 @@
         }
     }
     if (n->px)
-        k = px_wants(n->px, shares, cap);
+        k = px_wanted_shares(n->px, shares, cap);
     n->c.renewed += k;
     struct wr_msg m = {.type = WR_RENEW};
     m.renew = (struct wr_renew){.seq = ls_renewal_sent(&n->lease, now),
@@ -89,7 +89,7 @@
                                 .leaving = n->stopping,
                                 .nodes = n->nodes_hash};
     if (n->px)
-        px_permit_wants(n->px, &m.renew);
+        px_permit_requests(n->px, &m.renew);
     send_msg(l, &m);
     free(m.renew.permits);
     free(shares);
@@ -119,7 +119,7 @@
 static bool renewal_due(struct en_node *n, int64_t now)
 {
     int64_t by = n->awaiting ? nt_heard_until(n->loop) : now; /* its answer may have come */
-    return by >= n->next_renew || (!n->awaiting && n->px && px_has_news(n->px));
+    return by >= n->next_renew || (!n->awaiting && n->px && px_has_changes(n->px));
 }
 
 /* A few renewals a lease; one that is not answered in time goes to the next control node. */
@@ -141,7 +141,7 @@
 void en_give_back(struct en_node *n)
 {
     if (n->px)
-        px_permits_end(n->px);
+        px_permits_discard(n->px);
     if (leader(n))
         renew(n, leader(n), ck_now(), true);
 }
@@ -164,7 +164,7 @@
     if (n->px && g->knows_permits)
         px_permits_renewed(n->px, ls_renewal_sent_at(&n->lease, g->seq));
     else if (n->px)
-        px_permits_tell(n->px);
+        px_permits_report_all(n->px);
     if (!n->had_lease && en_leased(n)) {
         n->had_lease = true;
         FL_EVENT(&n->log, LG_INFO, "lease_held", "generation=%llu",
@@ -246,7 +246,7 @@
 {
     n->shares_seq = s->seq;
     if (n->px)
-        px_permits(n->px, ls_renewal_sent_at(&n->lease, s->renewal), s->permits, s->n_permits);
+        px_permits_granted(n->px, ls_renewal_sent_at(&n->lease, s->renewal), s->permits, s->n_permits);
     for (uint32_t i = 0; i < s->n; i++) {
         char id[VW_NAME];
         if (!sr_copy(id, sizeof(id), s->shares[i].inst))
--- a/proxy/limits.c
+++ b/proxy/limits.c
@@ -49,7 +49,7 @@
         p->permits_expire_at = until;
 }
 
-void px_permits_end(struct px_proxy *p)
+void px_permits_discard(struct px_proxy *p)
 {
     throw_away(p);
     p->permits_expire_at = 0;
@@ -98,7 +98,7 @@
 
 /* ---- renewals ---- */
 
-void px_permit_wants(struct px_proxy *p, struct wr_renew *r)
+void px_permit_requests(struct px_proxy *p, struct wr_renew *r)
 {
     struct wr_permit_ask *out = sr_alloc(sizeof(*out) * (size_t)(p->n_accounts + 1));
     end_if_due(p, ck_now());
@@ -130,7 +130,8 @@
     }
 }
 
-void px_permits(struct px_proxy *p, int64_t sent, const struct wr_permit *permits, uint32_t n)
+void px_permits_granted(struct px_proxy *p, int64_t sent, const struct wr_permit *permits,
+                        uint32_t n)
 {
     if (sent + LM_LIFE_US <= ck_now())
         return; /* a VM that was frozen: the leader has forgotten them */
@@ -146,7 +147,7 @@
     }
 }
 
-void px_permits_tell(struct px_proxy *p)
+void px_permits_report_all(struct px_proxy *p)
 {
     p->permits_unreported = true;
 }
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -244,7 +244,7 @@
     int64_t waiting_since;
     int64_t retry_at; /* PX_S_PARKED: looked at again then */
     int64_t sent_at;
-    int64_t stage_since; /* its present px_part began */
+    int64_t stage_since; /* its present px_latency_stage began */
     int attempts;        /* those that count against the route's */
     int offers;          /* how often it was sent */
     unsigned skip_mask;  /* bits of instances that could not serve it */
@@ -323,7 +323,7 @@
     struct ix_index account_at;  /* numbers in `accounts` */
     int64_t permits_expire_at;   /* they end */
     bool permits_unreported;     /* the leader does not know what there is */
-    bool has_changes;            /* instances came, or groups to hold, since px_has_news */
+    bool has_changes;            /* instances came, or groups to hold, since px_has_changes */
     int64_t leased_at;           /* when the lease was live last */
     int64_t last_seek_at;        /* a session looked for a node that passes it on */
     int64_t isolated_until;      /* cut off, and no other node answers: none is asked before */
@@ -527,7 +527,7 @@
 /* The statement is over, or its session is; nothing is told. */
 void px_end_work(struct px_session *s);
 /* The statement's present stage is over, and is counted as that part. */
-void px_stage_done(struct px_session *s, enum px_part part);
+void px_stage_done(struct px_session *s, enum px_latency_stage part);
 /* Look at it again at that time, or in the first tick after. */
 void px_park(struct px_session *s, int64_t until);
 /* Another try, at once or later. False: it counts, and there were as many as are allowed. */
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -85,7 +85,7 @@
         in->peak_demand = in->busy + in->n_waiters;
 }
 
-uint32_t px_wants(struct px_proxy *p, struct wr_share *out, uint32_t cap)
+uint32_t px_wanted_shares(struct px_proxy *p, struct wr_share *out, uint32_t cap)
 {
     uint32_t k = 0;
     for (int g = 0; g < p->n_groups; g++) {
@@ -99,7 +99,7 @@
     return k;
 }
 
-bool px_has_news(struct px_proxy *p)
+bool px_has_changes(struct px_proxy *p)
 {
     bool changes = p->has_changes;
     p->has_changes = false;
@@ -243,7 +243,7 @@
     const struct {
         const char *peer;
         uint64_t n;
-    } rows[] = {{"instance", p->stages.part[PX_T_SETUP].count},
+    } rows[] = {{"instance", p->stages.hist[PX_T_SETUP].count},
                 {"node", p->c.statements_relayed},
                 {"asker", p->c.statements_served}};
     for (size_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++)
@@ -275,10 +275,10 @@
     return a;
 }
 
-int px_accounts_by_use(const struct px_proxy *p, const char *names[PX_ACCOUNTS_TOLD])
+int px_accounts_by_use(const struct px_proxy *p, const char *names[PX_ACCOUNTS_LISTED])
 {
     const struct px_account **a = by_use(p);
-    int n = p->n_accounts < PX_ACCOUNTS_TOLD ? p->n_accounts : PX_ACCOUNTS_TOLD;
+    int n = p->n_accounts < PX_ACCOUNTS_LISTED ? p->n_accounts : PX_ACCOUNTS_LISTED;
     for (int i = 0; i < n; i++)
         names[i] = a[i]->name;
     free(a);
@@ -313,7 +313,7 @@
     const struct px_account **a = by_use(p);
     struct px_account rest = {0};
     for (int i = 0; i < p->n_accounts; i++) {
-        if (i < PX_ACCOUNTS_TOLD) {
+        if (i < PX_ACCOUNTS_LISTED) {
             put_account(out, a[i]->name, a[i]->begun, a[i]->refused, a[i]->permits.held);
             put_limit(out, ac_by_name(&p->catalog.accounts, a[i]->name));
         } else {
@@ -322,7 +322,7 @@
             rest.permits.held += a[i]->permits.held;
         }
     }
-    if (p->n_accounts > PX_ACCOUNTS_TOLD)
+    if (p->n_accounts > PX_ACCOUNTS_LISTED)
         put_account(out, "-", rest.begun, rest.refused, rest.permits.held);
     free(a);
 }
--- a/proxy/proxy.h
+++ b/proxy/proxy.h
@@ -51,26 +51,27 @@
 bool px_settled(const struct px_proxy *p);
 /* Connections held and wanted, an entry for each instance that the next renewal is to name;
  * returns how many. */
-uint32_t px_wants(struct px_proxy *p, struct wr_share *out, uint32_t cap);
+uint32_t px_wanted_shares(struct px_proxy *p, struct wr_share *out, uint32_t cap);
 /* Whether there are connections to ask for that no renewal has named, since this was asked
  * last: instances came to the view, or groups to hold. */
-bool px_has_news(struct px_proxy *p);
+bool px_has_changes(struct px_proxy *p);
 /* The entry nodes with a lease; strings and hashes as ho_prepare leaves them. */
 void px_nodes(struct px_proxy *p, const struct ho_node *nodes, int n);
 /* How many connections to the instance this node may have from now on. */
 void px_share(struct px_proxy *p, struct sr_str inst, int connections);
 /* What the next renewal says of client accounts' permits, to *r; the list is the caller's to
  * free. Each call is a renewal that goes out. */
-void px_permit_wants(struct px_proxy *p, struct wr_renew *r);
+void px_permit_requests(struct px_proxy *p, struct wr_renew *r);
 /* The leader's answer to a renewal that was sent then; all permits that are here live on for
  * LM_LIFE_US from there. */
-void px_permits(struct px_proxy *p, int64_t sent, const struct wr_permit *permits, uint32_t n);
+void px_permits_granted(struct px_proxy *p, int64_t sent, const struct wr_permit *permits,
+                        uint32_t n);
 /* The same without an answer; the leader knows of all permits here. */
 void px_permits_renewed(struct px_proxy *p, int64_t sent);
 /* The lease is given back: they end. */
-void px_permits_end(struct px_proxy *p);
+void px_permits_discard(struct px_proxy *p);
 /* The leader does not know of them: the next renewal tells it all. */
-void px_permits_tell(struct px_proxy *p);
+void px_permits_report_all(struct px_proxy *p);
 /* The lease is lost: others may be given what this node held, but for one connection an
  * instance. */
 void px_lease_lost(struct px_proxy *p);
@@ -91,10 +92,10 @@
 bool px_stopped(const struct px_proxy *p, int64_t now);
 /* Append lines for /metrics. */
 void px_metrics(const struct px_proxy *p, struct sr_buf *out);
-enum { PX_ACCOUNTS_TOLD = 64 }; /* accounts that metrics and pages name, at most */
+enum { PX_ACCOUNTS_LISTED = 64 }; /* accounts that metrics and pages name, at most */
 /* The accounts that began or were refused most here, most first, to `names`; returns how many.
  */
-int px_accounts_by_use(const struct px_proxy *p, const char *names[PX_ACCOUNTS_TOLD]);
+int px_accounts_by_use(const struct px_proxy *p, const char *names[PX_ACCOUNTS_LISTED]);
 /* The nodes at which an account's sessions meet in the group, to `nodes`; returns how many. */
 int px_account_nodes(struct px_proxy *p, const char *group, const char *account,
                      const char *nodes[HO_MAX_HOLDERS]);
--- a/proxy/wire.h
+++ b/proxy/wire.h
@@ -37,7 +37,7 @@
 struct px_msg {
     enum px_kind kind;
     struct sr_str database;  /* PX_OPEN: of a caller the database, to an instance its group */
-    struct sr_str who;       /* PX_OPEN: any word */
+    struct sr_str identity;  /* PX_OPEN: any word */
     struct sr_str expect;    /* PX_OPEN: the instance that is meant; empty: any */
     struct sr_str id;        /* PX_STATEMENT: empty: the proxy's own */
     struct sr_str text;      /* PX_STATEMENT */
@@ -62,8 +62,8 @@
     PX_V_SET,
     PX_V_PREPARE,
     PX_V_EXECUTE,
-    PX_V_FORGET,  /* a prepared name */
-    PX_V_DISCARD, /* to instances: all values and prepared names */
+    PX_V_DEALLOCATE, /* a prepared name */
+    PX_V_DISCARD,    /* to instances: all values and prepared names */
 };
 
 /* A statement's text, taken apart. */
@@ -108,6 +108,6 @@
 
 /* How many bytes of `in` are whole lines, and the last of them, if any; it points into `in`.
  * For a stream that is only passed on: its pieces may end anywhere. */
-size_t px_whole_lines(const struct sr_buf *in, struct sr_str *last);
+size_t px_complete_lines(const struct sr_buf *in, struct sr_str *last);
 
 #endif
--- a/tests/unit/test_accounts.c
+++ b/tests/unit/test_accounts.c
@@ -386,7 +386,7 @@
 static int wanted(void)
 {
     struct wr_share s[4];
-    uint32_t n = px_wants(w.p, s, 4);
+    uint32_t n = px_wanted_shares(w.p, s, 4);
     int sum = 0;
     for (uint32_t i = 0; i < n; i++)
         sum += (int)s[i].want;
@@ -422,9 +422,9 @@
     end();
     begin(TWO, 0);
     a = call("STARTUP db key1");
-    px_has_news(w.p);
+    px_has_changes(w.p);
     CU_ASSERT_FALSE(asks(a, "QUERY q1 READ x", "COMPLETE x"));
-    CU_ASSERT_TRUE(px_has_news(w.p));
+    CU_ASSERT_TRUE(px_has_changes(w.p));
     CU_ASSERT(wanted() >= 1);
     px_share(w.p, SR_LIT("i"), 1);
     run_for(WAIT_MS);
