--- a/control/control.h
+++ b/control/control.h
@@ -212,7 +212,7 @@
     int next_group;        /* group that the next tick begins with; -1: the first */
     int conn_changes_left; /* connections to instances that this tick may still open or close */
     struct vp_batch unsent_changes; /* changes of instances not sent to entry nodes yet */
-    struct vp_pace pace;           /* of views sent to entry nodes; reset by a new leader */
+    struct vp_pace pace;            /* of views sent to entry nodes; reset by a new leader */
     struct ct_cached_frame changes_frame, whole_frame; /* view messages sent last */
     struct ct_cached_frame nodes_changes, nodes_whole; /* node lists sent last */
     /* ---- state of the leader ---- */
@@ -221,7 +221,7 @@
     int64_t node_joined_at; /* when an entry node last got its first lease from this leader */
     struct ls_grantor leases;
     struct sh_table shares;
-    uint64_t shares_seq;    /* number of the last WR_SHARES message sent */
+    uint64_t shares_seq;        /* number of the last WR_SHARES message sent */
     struct lm_allocator limits; /* permits of client accounts */
     uint64_t step_index;        /* log index of the last step proposed for an intent */
     int64_t in_force_since; /* when all entry nodes began to act on the view; 0: some do not */
--- a/entry/link.c
+++ b/entry/link.c
@@ -246,7 +246,8 @@
 {
     n->shares_seq = s->seq;
     if (n->px)
-        px_permits_granted(n->px, ls_renewal_sent_at(&n->lease, s->renewal), s->permits, s->n_permits);
+        px_permits_granted(n->px, ls_renewal_sent_at(&n->lease, s->renewal), s->permits,
+                           s->n_permits);
     for (uint32_t i = 0; i < s->n; i++) {
         char id[VW_NAME];
         if (!sr_copy(id, sizeof(id), s->shares[i].inst))
