--- a/pool/shares.c
+++ b/pool/shares.c
@@ -9,13 +9,13 @@
 /* Maximum interval between checks for expired leases. */
 #define EXPIRY_CHECK_US CK_MS(500)
 
-bool sh_name_in_renewal(int *left, uint32_t held, uint32_t want)
+bool sh_name_in_renewal(int *renewals_left, uint32_t held, uint32_t want)
 {
     if (held || want)
-        *left = SH_NAMED_RENEWALS;
-    if (*left == 0)
+        *renewals_left = SH_NAMED_RENEWALS;
+    if (*renewals_left == 0)
         return false;
-    (*left)--;
+    (*renewals_left)--;
     return true;
 }
 
@@ -148,10 +148,10 @@
 }
 
 /* Max-min fairness: every node gets up to the water level, and none more than it wants. */
-static int water_level(const struct sh_inst *in, int64_t now, int room, int *left)
+static int water_level(const struct sh_inst *in, int64_t now, int room, int *remainder)
 {
     int level = 0;
-    *left = room;
+    *remainder = room;
     for (;;) {
         int need = 0;
         bool more = false;
@@ -165,7 +165,7 @@
         }
         if (!more || need > room)
             return level;
-        *left = room - need;
+        *remainder = room - need;
         level++;
     }
 }
@@ -198,9 +198,9 @@
         if (now >= in->nodes[i].lease_until)
             room -= in->nodes[i].counted;
     }
-    int left, level = water_level(in, now, room, &left);
+    int remainder, level = water_level(in, now, room, &remainder);
     int unassigned = in->limit - in->reserve - sum_counted(in);
-    distribute_remainder(in, now, level, left);
+    distribute_remainder(in, now, level, remainder);
     bool changed = false;
     for (int i = 0; i < in->n; i++) {
         struct sh_node *n = &in->nodes[i];
--- a/pool/shares.h
+++ b/pool/shares.h
@@ -53,9 +53,9 @@
 
 /* Whether a node's next renewal must name an instance where it has `held` connections and would
  * use `want`. After both have become 0 a few more renewals name it, as a renewal may be lost
- * with its leader; then none do, as most nodes use few of many instances. `left` belongs to the
- * node, is 0 at first and counts the renewals that still name the instance. */
-bool sh_name_in_renewal(int *left, uint32_t held, uint32_t want);
+ * with its leader; then none do, as most nodes use few of many instances. `renewals_left`
+ * belongs to the node, is 0 at first and counts the renewals that still name the instance. */
+bool sh_name_in_renewal(int *renewals_left, uint32_t held, uint32_t want);
 
 /* A leader begins; shares assigned by an earlier leader may be held until `no_grants_until`. */
 void sh_begin(struct sh_table *t, int64_t no_grants_until);
--- a/proxy/holders.c
+++ b/proxy/holders.c
@@ -170,7 +170,7 @@
 {
     const struct px_proxy *p = s->p;
     const struct pl_placement *placement = px_account_placement(g, s->account);
-    ho_order(p->nodes, g->holders, g->n_holders, g->cfg.name, s->account, out);
+    ho_order_for_account(p->nodes, g->holders, g->n_holders, g->cfg.name, s->account, out);
     for (int k = 0; placement && k < placement->n; k++) {
         int at = placement->holder[(s->state.session + (uint64_t)k) % placement->n], i = k;
         while (out[i] != at)
--- a/route/holders.c
+++ b/route/holders.c
@@ -17,13 +17,13 @@
         nodes[i].strong = (int64_t)nodes[i].carries * STRONG_FRACTION >= max_capacity;
 }
 
-int ho_count_strong(const struct ho_node *nodes, int n, int64_t *carry)
+int ho_count_strong(const struct ho_node *nodes, int n, int64_t *capacity)
 {
     int k = 0;
-    *carry = 0;
+    *capacity = 0;
     for (int i = 0; i < n; i++) {
         k += nodes[i].strong;
-        *carry += nodes[i].strong ? nodes[i].carries : 0;
+        *capacity += nodes[i].strong ? nodes[i].carries : 0;
     }
     return k;
 }
@@ -111,8 +111,8 @@
     return n_out;
 }
 
-void ho_order(const struct ho_node *nodes, const uint16_t *holders, int n, const char *group,
-              const char *account, int *order)
+void ho_order_for_account(const struct ho_node *nodes, const uint16_t *holders, int n,
+                          const char *group, const char *account, int *order)
 {
     uint64_t score[HO_MAX_HOLDERS];
     uint64_t seed = XXH64(group, strlen(group), 0);
--- a/route/holders.h
+++ b/route/holders.h
@@ -37,16 +37,16 @@
 /* Chooses at most k holders of `group`, limited to HO_MAX_HOLDERS, from a prepared list. Writes
  * their indices in `nodes` to `out`, best first, and returns their number. */
 int ho_pick(const struct ho_node *nodes, int n, const char *group, int k, int *out);
-/* Returns the number of strong nodes, and in *carry the statements per second that they can
- * serve together. If no capacity is known, all nodes are strong and *carry is 0. */
-int ho_count_strong(const struct ho_node *nodes, int n, int64_t *carry);
+/* Returns the number of strong nodes, and in *capacity the statements per second that they can
+ * serve together. If no capacity is known, all nodes are strong and *capacity is 0. */
+int ho_count_strong(const struct ho_node *nodes, int n, int64_t *capacity);
 /* The number of failure domains without a strong node. */
 int ho_count_domains_without_strong(const struct ho_node *nodes, int n);
 /* Sorts `n` holders (indices into nodes) for an account of a group, again by rendezvous
  * hashing, so that an account's statements meet at the first holder, and at the same next one
  * if that is down. `order` gets indices into `holders`. */
-void ho_order(const struct ho_node *nodes, const uint16_t *holders, int n, const char *group,
-              const char *account, int *order);
+void ho_order_for_account(const struct ho_node *nodes, const uint16_t *holders, int n,
+                          const char *group, const char *account, int *order);
 /* Whether the node named `self` is one of the k holders. If k <= 0 or there are at most k
  * nodes, all nodes are. */
 bool ho_is_holder(const struct ho_node *nodes, int n, const char *group, int k,
--- a/route/nodelist.c
+++ b/route/nodelist.c
@@ -39,7 +39,7 @@
 
 const struct nl_list *nl_newest(const struct nl_history *b)
 {
-    return b->n ? &b->kept[(b->n - 1) % NL_KEPT] : NULL;
+    return b->n ? &b->lists[(b->n - 1) % NL_HISTORY] : NULL;
 }
 
 bool nl_record(struct nl_history *b, const struct ho_node *nodes, int n, uint64_t hash)
@@ -47,7 +47,7 @@
     const struct nl_list *newest = nl_newest(b);
     if (newest && newest->hash == hash)
         return false;
-    struct nl_list *l = &b->kept[b->n++ % NL_KEPT];
+    struct nl_list *l = &b->lists[b->n++ % NL_HISTORY];
     l->nodes = sr_realloc(l->nodes, sizeof(*nodes) * (size_t)(n + 1));
     sr_move(l->nodes, nodes, sizeof(*nodes) * (size_t)n);
     l->n = n;
@@ -57,9 +57,9 @@
 
 static const struct nl_list *find_kept(const struct nl_history *b, uint64_t hash)
 {
-    for (int i = 0; hash > NL_EMPTY && i < NL_KEPT; i++) {
-        if (b->kept[i].hash == hash)
-            return &b->kept[i];
+    for (int i = 0; hash > NL_EMPTY && i < NL_HISTORY; i++) {
+        if (b->lists[i].hash == hash)
+            return &b->lists[i];
     }
     return NULL;
 }
@@ -117,8 +117,8 @@
 
 void nl_free(struct nl_history *b)
 {
-    for (int i = 0; i < NL_KEPT; i++)
-        free(b->kept[i].nodes);
+    for (int i = 0; i < NL_HISTORY; i++)
+        free(b->lists[i].nodes);
     *b = (struct nl_history){0};
 }
 
--- a/route/nodelist.h
+++ b/route/nodelist.h
@@ -21,7 +21,7 @@
 enum {
     /* Lists that a leader keeps. It makes at most ten lists a second, and a node reports its
      * list five times a second; a node that is further behind is sent the whole list. */
-    NL_KEPT = 8,
+    NL_HISTORY = 8,
     NL_EMPTY = 1, /* hash of a list that is empty or known to be wrong; hash 0: unknown */
 };
 
@@ -33,7 +33,7 @@
 
 /* The newest lists, a ring buffer. */
 struct nl_history {
-    struct nl_list kept[NL_KEPT];
+    struct nl_list lists[NL_HISTORY];
     uint64_t n; /* number of lists recorded so far */
 };
 
--- a/route/placement.c
+++ b/route/placement.c
@@ -124,7 +124,7 @@
         int order[HO_MAX_HOLDERS], parts = count_parts(s[i].size, &l, n_holders);
         struct pl_placement *p = &out[s[i].index];
         *p = (struct pl_placement){0};
-        ho_order(nodes, holders, n_holders, group, s[i].name, order);
+        ho_order_for_account(nodes, holders, n_holders, group, s[i].name, order);
         while (p->n < parts) {
             int h = choose_holder(&l, order, n_holders, p, s[i].size / parts);
             l.placed[h] += s[i].size / parts;
--- a/route/route.c
+++ b/route/route.c
@@ -90,15 +90,15 @@
 
 static struct rt_choice to_primary(const struct rt_group *g, unsigned skip)
 {
-    struct rt_choice c = {.inst = -1, .primary = true, .why = ER_NO_PRIMARY};
+    struct rt_choice c = {.inst = -1, .primary = true, .reason = ER_NO_PRIMARY};
     if (g->primary < 0 || (skip & (1u << g->primary)))
         return c;
     if (!g->inst[g->primary].usable) {
-        c.why = ER_ENDPOINT;
+        c.reason = ER_ENDPOINT;
         return c;
     }
     c.inst = g->primary;
-    c.why = ER_NONE;
+    c.reason = ER_NONE;
     return c;
 }
 
--- a/route/route.h
+++ b/route/route.h
@@ -48,11 +48,11 @@
 };
 
 struct rt_choice {
-    int inst; /* -1: none; `why` holds the reason */
+    int inst; /* -1: none; `reason` holds the reason */
     bool primary;
     struct ps_pos min; /* position that the instance must have applied */
     int64_t wait_us;   /* how long the instance may wait for `min` */
-    enum er_kind why;
+    enum er_kind reason;
 };
 
 /* The primary answered a position request that was sent at `requested_at`. */
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -49,7 +49,7 @@
     CU_ASSERT(c.primary && c.inst == 0);
     g.primary = -1;
     c = rt_choose_for_read(&g, &q, 0, 0);
-    CU_ASSERT(c.inst == -1 && c.why == ER_NO_PRIMARY);
+    CU_ASSERT(c.inst == -1 && c.reason == ER_NO_PRIMARY);
 }
 
 /* The age is counted from when the primary was asked, not from when it answered. */
