--- a/proxy/conn.c
+++ b/proxy/conn.c
@@ -387,11 +387,11 @@
     size_t at = 0;
     (void)net;
     note_received(c);
-    sr_buf_add(&c->in, data, len);
-    while (!c->closing && px_next_msg(c->inst->p->cfg.codec, &c->in, &at, &m))
+    sr_buf_add(&c->input, data, len);
+    while (!c->closing && px_next_msg(c->inst->p->cfg.codec, &c->input, &at, &m))
         handle_msg(c, &m);
-    px_consume(&c->in, at);
-    if (c->in.len > PX_MAX_LINE)
+    px_consume(&c->input, at);
+    if (c->input.len > PX_MAX_LINE)
         px_conn_close(c);
 }
 
@@ -420,7 +420,7 @@
 static void conn_free(struct px_conn *c)
 {
     px_applied_free(&c->applied);
-    sr_buf_free(&c->in);
+    sr_buf_free(&c->input);
     sr_buf_free(&c->rows);
     sr_buf_free(&c->signature);
     free(c);
--- a/proxy/holders.c
+++ b/proxy/holders.c
@@ -83,8 +83,9 @@
     int64_t strong_capacity;
     int k = conns > 0 ? clamp_holders(conns / CONNS_PER_HOLDER_WITH_ACCOUNTS) : MIN_HOLDERS;
     int n_strong = ho_count_strong(p->nodes, p->n_nodes, &strong_capacity);
-    int min_holders = n_strong + ho_count_domains_without_strong(p->nodes, p->n_nodes);
-    return min_holders < k && strong_suffice(p, n_strong, strong_capacity) ? min_holders : k;
+    int strong_holders = n_strong + ho_count_domains_without_strong(p->nodes, p->n_nodes);
+    return strong_holders < k && strong_suffice(p, n_strong, strong_capacity) ? strong_holders
+                                                                              : k;
 }
 
 /* The number of holders such that each has a few connections; 0: all nodes. */
--- a/proxy/neighbor.c
+++ b/proxy/neighbor.c
@@ -52,7 +52,7 @@
     n->trial_began_at = now;
 }
 
-bool nb_trial_late(const struct nb_neighbor *n, int64_t received_until)
+bool nb_trial_timed_out(const struct nb_neighbor *n, int64_t received_until)
 {
     return n->trial_pending && received_until - n->trial_began_at >= TRIAL_TIMEOUT_US;
 }
--- a/proxy/neighbor.h
+++ b/proxy/neighbor.h
@@ -52,7 +52,7 @@
 void nb_trial_began(struct nb_neighbor *n, int64_t now);
 /* Whether the pending trial has timed out, given that everything received by `received_until`
  * was processed. */
-bool nb_trial_late(const struct nb_neighbor *n, int64_t received_until);
+bool nb_trial_timed_out(const struct nb_neighbor *n, int64_t received_until);
 /* The trial ended; a refusal counts as an answer. */
 void nb_trial_ended(struct nb_neighbor *n, bool answered, int64_t now);
 
--- a/proxy/neighbors.c
+++ b/proxy/neighbors.c
@@ -123,7 +123,7 @@
     (void)net;
     (void)refused;
     nb->trial_conn = NULL;
-    end_trial(nb, opened && !nb_trial_late(&nb->status, px_heard(nb->p)));
+    end_trial(nb, opened && !nb_trial_timed_out(&nb->status, px_heard(nb->p)));
 }
 
 static const struct nt_ops trial_ops = {on_open, on_message, on_close};
@@ -148,7 +148,7 @@
 {
     int64_t received_until = px_heard(p);
     for (struct px_neighbor *nb = p->neighbors; nb; nb = nb->next) {
-        if (nb->trial_conn && nb_trial_late(&nb->status, received_until))
+        if (nb->trial_conn && nb_trial_timed_out(&nb->status, received_until))
             abandon_trial(nb);
         else if (nb_trial_due(&nb->status, now) && (nb->n_relays > 0 || is_listed(p, nb->name)))
             start_trial(nb, now);
--- a/proxy/pool.c
+++ b/proxy/pool.c
@@ -191,11 +191,11 @@
 /* The connection to close if another account needs one; NULL: none may be closed. */
 static struct px_conn *replaceable_conn(const struct px_inst *in, const char *account)
 {
-    enum { LOOKED_AT = 64 }; /* a node's share of an instance's connections is smaller */
-    struct px_spare spare[LOOKED_AT];
-    struct px_conn *conns[LOOKED_AT];
+    enum { MAX_CONSIDERED = 64 }; /* a node's share of an instance's connections is smaller */
+    struct px_spare spare[MAX_CONSIDERED];
+    struct px_conn *conns[MAX_CONSIDERED];
     int n = 0;
-    for (struct px_conn *c = in->conns; c && n < LOOKED_AT; c = c->next) {
+    for (struct px_conn *c = in->conns; c && n < MAX_CONSIDERED; c = c->next) {
         bool idle = c->phase == PX_C_IDLE && !c->closing;
         if (!idle || strcmp(c->account, account) == 0 || has_waiter_of(in, c->account))
             continue;
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -44,7 +44,7 @@
     struct px_conn *next; /* list link of the instance's connections */
     struct px_inst *inst;
     struct nt_conn *net;
-    struct sr_buf in; /* what has come and is not taken yet */
+    struct sr_buf input; /* what has come and is not taken yet */
     bool closing;
     char account[AC_NAME]; /* the account that it was opened for; px_identify */
     int64_t last_used_at;  /* when the last statement was sent on it, or it was opened */
--- a/proxy/read_choice.c
+++ b/proxy/read_choice.c
@@ -35,7 +35,7 @@
     if (!c->has_conn)
         us += OPEN_CONN_US;
     us += c->distance * (TRIP_US + c->service_us * DISTANCE_PERCENT / 100);
-    us += (int64_t)((double)(us * FAIL_FACTOR + FAIL_RETRY_US) * c->fail_rate);
+    us += (int64_t)((double)(us * FAIL_FACTOR + FAIL_RETRY_US) * c->failure_rate);
     return us + us * (int64_t)rn_below(rng, NOISE_PERCENT) / 100;
 }
 
--- a/proxy/read_choice.h
+++ b/proxy/read_choice.h
@@ -19,7 +19,7 @@
     bool has_conn;           /* a usable connection is idle, or none needs to be opened */
     int outstanding;         /* statements of this node, running or waiting there */
     int64_t service_us;      /* expected time of the statement there; px_service_time_expect */
-    double fail_rate;        /* recent failure rate, 0 to 1; px_outlier_failure_rate */
+    double failure_rate;     /* recent failure rate, 0 to 1; px_outlier_failure_rate */
     int distance;            /* 0: the same failure domain, 1: another, 2: another region */
     struct ps_pos known_pos; /* the last position that it reported */
     /* It lacked a position; no read with a floor above known_pos until then. */
--- a/proxy/window.c
+++ b/proxy/window.c
@@ -25,13 +25,13 @@
         .size = INITIAL_SIZE, .smoothed_us = INITIAL_TIME_US, .baseline_us = INITIAL_TIME_US};
 }
 
-static void shrink(struct px_window *w, double by, int64_t now)
+static void shrink(struct px_window *w, double factor, int64_t now)
 {
     /* At most once per round trip: outstanding statements were sent under the larger window. */
     if (now - w->shrunk_at < (int64_t)w->smoothed_us)
         return;
     w->shrunk_at = now;
-    w->size *= by;
+    w->size *= factor;
     if (w->size < MIN_SIZE)
         w->size = MIN_SIZE;
 }
--- a/tests/unit/test_neighbor.c
+++ b/tests/unit/test_neighbor.c
@@ -20,7 +20,7 @@
 {
     for (int t = ms; t < ms + 2000; t += 50) {
         nb_unanswered(n, at(ms), at(t));
-        if (nb_trial_late(n, at(t)))
+        if (nb_trial_timed_out(n, at(t)))
             nb_trial_ended(n, false, at(t));
         if (nb_trial_due(n, at(t)))
             nb_trial_began(n, at(t));
@@ -83,7 +83,7 @@
 {
     int trials = 0;
     for (int t = from; t < from + ms; t += 50) {
-        if (nb_trial_late(n, at(t)))
+        if (nb_trial_timed_out(n, at(t)))
             nb_trial_ended(n, false, at(t));
         if (nb_trial_due(n, at(t))) {
             nb_trial_began(n, at(t));
--- a/tests/unit/test_proxy.c
+++ b/tests/unit/test_proxy.c
@@ -47,10 +47,10 @@
         c[1].distance = 1;
         for (int k = 0; k < 50; k++)
             CU_ASSERT_EQUAL(px_choose_instance(c, 2, false, none, 0, &rng), 0);
-        c[0].fail_rate = 0.5;
+        c[0].failure_rate = 0.5;
         for (int k = 0; k < 50; k++)
             CU_ASSERT_EQUAL(px_choose_instance(c, 2, false, none, 0, &rng), 1);
-        c[0].fail_rate = 0;
+        c[0].failure_rate = 0;
         c[0].outstanding = takes[i] < 800 ? 12 : 4; /* a trip takes time, too */
         for (int k = 0; k < 50; k++)
             CU_ASSERT_EQUAL(px_choose_instance(c, 2, false, none, 0, &rng), 1);
@@ -113,12 +113,12 @@
     struct rn_rng rng = rn_seed(1);
     struct ps_pos none = {0};
     struct px_candidate c[3] = {at(true, 9), at(false, 0), at(false, 2)};
-    c[1].fail_rate = 0.5;
+    c[1].failure_rate = 0.5;
     CU_ASSERT_EQUAL(px_choose_instance(c, 3, false, none, 0, &rng), 2);
     c[2].outstanding = 9; /* so full that a failure costs less */
     CU_ASSERT_EQUAL(px_choose_instance(c, 3, false, none, 0, &rng), 1);
     c[0].usable = c[1].usable = false;
-    c[2].fail_rate = 1; /* nobody else */
+    c[2].failure_rate = 1; /* nobody else */
     CU_ASSERT_EQUAL(px_choose_instance(c, 3, false, none, 0, &rng), 2);
 }
 
