--- a/proxy/handover.h
+++ b/proxy/handover.h
@@ -13,8 +13,7 @@
 #include <stdint.h>
 
 struct px_handover {
-    int64_t
-        condition_since; /* since when the conditions hold without a break; 0: they do not */
+    int64_t condition_since; /* since when the conditions hold; 0: they do not */
 };
 
 struct px_handover_view {
--- a/proxy/pool.c
+++ b/proxy/pool.c
@@ -431,7 +431,7 @@
     return now - in->last_received < HEALTH_FRESH_US ? WR_OK : WR_UNKNOWN;
 }
 
-/* ---- time ---- */
+/* ---- periodic work ---- */
 
 /* Closes idle connections beyond the share; all of them if the instance drains or was removed.
  */
@@ -471,7 +471,7 @@
         px_inst_report_suspicion(in, WR_UNFIT);
 }
 
-/* ---- end ---- */
+/* ---- removal ---- */
 
 void px_inst_remove(struct px_inst *in)
 {
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -44,7 +44,7 @@
     struct px_conn *next; /* list link of the instance's connections */
     struct px_inst *inst;
     struct nt_conn *net;
-    struct sr_buf input; /* what has come and is not taken yet */
+    struct sr_buf input; /* bytes received but not yet parsed */
     bool closing;
     char account[AC_NAME]; /* the account that it was opened for; px_identify */
     int64_t last_used_at;  /* when the last statement was sent on it, or it was opened */
@@ -64,8 +64,8 @@
     struct sr_buf signature;
     bool complete_seen; /* PX_DONE was received */
     enum er_kind error;
-    char detail[160]; /* detail of the error, truncated */
-    enum px_txn state;
+    char detail[160];  /* detail of the error, truncated */
+    enum px_txn state; /* transaction state after the answer */
     bool has_pos;
     struct ps_pos pos;
 };
@@ -99,7 +99,7 @@
     int n_waiters;
 
     /* reachability */
-    int64_t last_received; /* last sign of life */
+    int64_t last_received; /* when the last bytes arrived */
     /* When opening a connection failed; 0: something was received since. */
     int64_t connect_failed_at;
     /* An open connection was lost; a new one is to show whether the instance is alive. */
--- a/route/capacity.h
+++ b/route/capacity.h
@@ -1,5 +1,5 @@
-/* The statements that a VM can serve for other nodes, from its settings. Pure; used by entry
- * nodes and by control.
+/* The statements that a VM can serve for other nodes, from its settings. Pure; an entry node
+ * reports the result to control, and wire/ bounds the reported value.
  *
  * A node that holds connections for callers elsewhere passes each statement twice in each
  * direction over its link, and spends processor time on it. */
--- a/route/nodelist.c
+++ b/route/nodelist.c
@@ -35,7 +35,7 @@
     return hash_of(nodes, n);
 }
 
-/* ---- the leader's side ---- */
+/* ---- at the leader ---- */
 
 const struct nl_list *nl_newest(const struct nl_history *b)
 {
@@ -122,7 +122,7 @@
     *b = (struct nl_history){0};
 }
 
-/* ---- a node's side ---- */
+/* ---- at an entry node ---- */
 
 static int find(const struct ho_node *nodes, int n, const char *name)
 {
