--- a/proxy/groups.c
+++ b/proxy/groups.c
@@ -95,7 +95,7 @@
         }
         if (!in) {
             in = px_inst_new(g, &v->inst[i]);
-            g->p->news = true;
+            g->p->has_changes = true;
         }
         in->cfg = v->inst[i];
         in->index = i;
@@ -149,7 +149,7 @@
 void px_view(struct px_proxy *p, const struct vw_view *v)
 {
     struct px_group **next = sr_alloc(sizeof(*next) * (size_t)(v->n + 1));
-    px_document(p, &v->doc);
+    px_load_document(p, &v->doc);
     for (int i = 0; i < v->n; i++) {
         struct px_group *g = px_find_group(p, v->groups[i].name);
         next[i] = g ? g : group_new(p, &v->groups[i]);
@@ -169,7 +169,7 @@
 {
     const struct px_inst *in = g->cfg.primary >= 0 ? g->inst[g->cfg.primary] : NULL;
     for (const struct px_conn *c = in ? in->conns : NULL; c; c = c->next) {
-        if (c->session && !c->session->read_only)
+        if (c->session && !c->session->txn_read_only)
             return true;
     }
     return false;
@@ -177,7 +177,7 @@
 
 bool px_settled(const struct px_proxy *p)
 {
-    if (px_document_due(p))
+    if (px_document_loading(p))
         return false;
     for (int i = 0; i < p->n_groups; i++) {
         if (p->groups[i]->settle_deadline)
@@ -190,12 +190,13 @@
 {
     for (int i = 0; i < p->n_groups; i++) {
         struct px_group *g = p->groups[i];
-        if (g->settle_deadline && (px_heard(p) > g->settle_deadline || !primary_has_work(g)))
+        if (g->settle_deadline &&
+            (px_received_until(p) > g->settle_deadline || !primary_has_work(g)))
             g->settle_deadline = 0;
         for (int k = 0; k < g->cfg.n; k++)
             px_inst_tick(g->inst[k], now);
     }
-    for (struct px_inst *in = p->gone, *next; in; in = next) {
+    for (struct px_inst *in = p->removed_insts, *next; in; in = next) {
         next = in->next_removed;
         px_inst_tick(in, now);
     }
--- a/proxy/holders.c
+++ b/proxy/holders.c
@@ -35,7 +35,7 @@
 bool px_knows_nodes(const struct px_proxy *p)
 {
     bool waited_enough =
-        p->configured_at && px_heard(p) - p->configured_at >= NODE_LIST_WAIT_US;
+        p->configured_at && px_received_until(p) - p->configured_at >= NODE_LIST_WAIT_US;
     return p->n_nodes > 0 || waited_enough;
 }
 
@@ -117,7 +117,7 @@
         g->held = known && px_configured(p) && (k == 0 || g->connects_first);
         if (was_held && !g->held)
             g->released_at = ck_now();
-        p->news = p->news || (g->held && !was_held);
+        p->has_changes = p->has_changes || (g->held && !was_held);
         if (was_held != g->held || n_before != g->n_holders)
             FL_EVENT(&p->log, LG_INFO, "holding_changed",
                      "group=%s held=%d holders=%d nodes=%d", g->cfg.name, g->held, g->n_holders,
--- a/proxy/outcome.c
+++ b/proxy/outcome.c
@@ -32,7 +32,7 @@
 {
     if (in->removed)
         return; /* its place in the group is another's now */
-    s->skip |= 1u << in->index;
+    s->skip_mask |= 1u << in->index;
 }
 
 static void note_behind(struct px_session *s, struct px_inst *in)
@@ -58,7 +58,7 @@
     if (!px_needs_primary(s))
         skip(s, c->inst);
     let_go(s, c);
-    return px_try_again(s, after_us, true);
+    return px_retry(s, after_us, true);
 }
 
 /* What the connection has prepared is not what we thought. */
@@ -69,7 +69,7 @@
     s->conn = NULL;
     c->session = NULL;
     px_conn_close(c);
-    return px_try_again(s, 0, true);
+    return px_retry(s, 0, true);
 }
 
 /* The instance said no before it ran anything, or a read failed there: somewhere else. */
@@ -83,7 +83,7 @@
     case ER_BEHIND:
         note_behind(s, c->inst);
         let_go(s, c);
-        return px_try_again(s, 0, false);
+        return px_retry(s, 0, false);
     case ER_BUSY:
         return ask_another(s, c, primary_only ? BUSY_RETRY_US : 0);
     case ER_TERM:
@@ -91,7 +91,7 @@
             return false;
         note_no_primary(c->inst);
         let_go(s, c);
-        return px_try_again(s, PX_PARK_US, false);
+        return px_retry(s, PX_PARK_US, false);
     case ER_NO_STATEMENT:
         return ask_anew(s, c);
     case ER_FAILED:
@@ -106,12 +106,12 @@
 
 static void note_commit(struct px_session *s, const struct px_conn *c)
 {
-    bool commits = s->stmt.verb == PX_V_COMMIT ? s->wrote : s->writes && !px_in_txn(s);
+    bool commits = s->stmt.verb == PX_V_COMMIT ? s->txn_wrote : s->writes && !px_in_txn(s);
     if (!commits || !c->has_pos)
         return;
-    bool same = strcmp(s->seen_in, s->route.group) == 0;
-    s->seen = same ? ps_max(s->seen, c->pos) : c->pos;
-    sr_copy(s->seen_in, sizeof(s->seen_in), sr_from(s->route.group));
+    bool same = strcmp(s->last_commit_group, s->route.group) == 0;
+    s->last_commit = same ? ps_max(s->last_commit, c->pos) : c->pos;
+    sr_copy(s->last_commit_group, sizeof(s->last_commit_group), sr_from(s->route.group));
 }
 
 static void count_read(struct px_session *s, const struct px_conn *c)
@@ -127,7 +127,7 @@
 {
     bool ends = s->stmt.verb == PX_V_COMMIT;
     if (c->error == ER_NONE)
-        s->wrote = s->wrote || s->writes;
+        s->txn_wrote = s->txn_wrote || s->writes;
     s->txn = ends ? PX_IDLE : c->state;
     if (!ends && c->state == PX_IDLE)
         s->txn = PX_TXN_FAILED; /* it is not open there any more: nothing of it is kept */
@@ -140,13 +140,13 @@
         px_inst_serve_waiters(c->inst);
         return;
     }
-    s->lost = s->txn != PX_IDLE;
+    s->txn_rolled_back = s->txn != PX_IDLE;
     c->session = NULL;
     px_answer(s, c);
     release(c);
 }
 
-void px_answered(struct px_session *s, struct px_conn *c)
+void px_on_answer(struct px_session *s, struct px_conn *c)
 {
     if (px_in_txn(s)) {
         count_read(s, c);
@@ -169,7 +169,7 @@
 
 /* ---- what goes wrong on the way ---- */
 
-void px_not_sent(struct px_session *s, struct px_conn *c, enum er_kind why)
+void px_on_not_sent(struct px_session *s, struct px_conn *c, enum er_kind why)
 {
     struct px_inst *in = c->inst;
     if (why == ER_BEHIND)
@@ -179,7 +179,7 @@
     else if (!px_needs_primary(s))
         skip(s, in);
     bool counts = why != ER_BEHIND && why != ER_TERM;
-    if (!px_try_again(s, why == ER_BEHIND ? 0 : PX_PARK_US, counts))
+    if (!px_retry(s, why == ER_BEHIND ? 0 : PX_PARK_US, counts))
         px_refuse(s, ER_OVERLOAD, "instances refused what it needs first; retry in 100 ms");
 }
 
@@ -187,44 +187,44 @@
 static void fail_txn(struct px_session *s)
 {
     s->txn = PX_TXN_FAILED;
-    s->lost = true;
+    s->txn_rolled_back = true;
 }
 
 /* A transaction's connection is gone: it was rolled back, unless its commit was under way. */
 static void txn_lost(struct px_session *s, bool sent)
 {
     bool ends = s->stmt.verb == PX_V_COMMIT;
-    bool in_doubt = ends && s->wrote && sent;
-    if (s->stage == PX_S_REST) { /* between two statements: the next one is told */
+    bool in_doubt = ends && s->txn_wrote && sent;
+    if (s->stage == PX_S_IDLE) { /* between two statements: the next one is told */
         fail_txn(s);
         return;
     }
     s->txn = ends ? PX_IDLE : PX_TXN_FAILED;
-    s->lost = !ends;
+    s->txn_rolled_back = !ends;
     px_refuse(s, in_doubt ? ER_LOST : ER_ABORTED,
               in_doubt ? "the connection was lost with the commit on its way"
                        : "the connection was lost; nothing of the transaction is kept");
 }
 
-void px_lost(struct px_session *s, struct px_conn *c, bool sent)
+void px_on_conn_lost(struct px_session *s, struct px_conn *c, bool sent)
 {
     struct px_inst *in = c->inst;
-    s->p->c.lost += sent;
-    if (px_in_txn(s) && s->begun) {
+    s->p->c.lost_conns += sent;
+    if (px_in_txn(s) && s->txn_begun) {
         txn_lost(s, sent);
         return;
     }
     if (!px_needs_primary(s))
         skip(s, in);
     if (!sent) {
-        px_try_again(s, 0, false);
+        px_retry(s, 0, false);
         return;
     }
     if (s->writes) {
         px_refuse(s, ER_LOST, "the connection was lost with the write on its way");
         return;
     }
-    if (!px_try_again(s, 0, true))
+    if (!px_retry(s, 0, true))
         px_refuse(s, ER_OVERLOAD, "no instance answered the read; retry in 100 ms");
 }
 
@@ -252,7 +252,7 @@
 static void expire_txn(struct px_session *s, struct px_conn *c, bool sent)
 {
     bool ends = s->stmt.verb == PX_V_COMMIT;
-    bool in_doubt = ends && s->wrote && sent;
+    bool in_doubt = ends && s->txn_wrote && sent;
     s->conn = NULL;
     c->session = NULL;
     if (ends)
@@ -260,7 +260,7 @@
     else
         px_conn_close(c); /* which rolls back */
     s->txn = ends ? PX_IDLE : PX_TXN_FAILED;
-    s->lost = !ends;
+    s->txn_rolled_back = !ends;
     px_refuse(s, in_doubt ? ER_TIMEOUT : ER_ABORTED,
               in_doubt ? "no answer to the commit in its time"
                        : "no answer in its time; the transaction was rolled back");
@@ -271,7 +271,7 @@
 {
     struct px_conn *c = s->conn;
     bool sent = c->phase == PX_C_RUNNING;
-    if (px_in_txn(s) && s->begun) {
+    if (px_in_txn(s) && s->txn_begun) {
         expire_txn(s, c, sent);
         return;
     }
--- a/proxy/pool.c
+++ b/proxy/pool.c
@@ -67,7 +67,7 @@
     if (now - in->share_requested_at < SHARE_REQUEST_INTERVAL_US)
         return;
     in->share_requested_at = now;
-    in->p->news = true; /* causes an extra renewal */
+    in->p->has_changes = true; /* causes an extra renewal */
 }
 
 static struct px_conn *idle_conn(const struct px_inst *in, const struct px_session *s)
@@ -157,7 +157,7 @@
  * answer and must not block the others. */
 int px_inst_running(const struct px_inst *in)
 {
-    int64_t since = px_heard(in->p) - in->service_us * LOST_SERVICE_TIMES;
+    int64_t since = px_received_until(in->p) - in->service_us * LOST_SERVICE_TIMES;
     int k = 0;
     for (const struct px_conn *c = in->conns; c; c = c->next) {
         bool out = c->phase == PX_C_SETUP || c->phase == PX_C_RUNNING;
@@ -244,7 +244,7 @@
     if (!c || count_closing(in) > count_opening(in))
         return; /* the room of the last closed connection is not used yet */
     in->replaced++;
-    in->p->c.replaced++;
+    in->p->c.replaced_conns++;
     px_conn_close(c);
 }
 
@@ -329,7 +329,7 @@
  * lost, or the instance is down. A new connection is opened to find out. */
 static bool has_unanswered(const struct px_inst *in)
 {
-    int64_t received_until = px_heard(in->p);
+    int64_t received_until = px_received_until(in->p);
     for (const struct px_conn *c = in->conns; c; c = c->next) {
         bool out = c->phase != PX_C_IDLE && c->phase != PX_C_IDLE_IN_TXN;
         if (out && received_until - c->sent_at > NO_ANSWER_US && in->last_received < c->sent_at)
@@ -341,7 +341,7 @@
 /* Whether a connection has no greeting in time: the instance is down or unreachable. */
 static bool has_no_greeting(const struct px_inst *in)
 {
-    int64_t received_until = px_heard(in->p);
+    int64_t received_until = px_received_until(in->p);
     for (const struct px_conn *c = in->conns; c; c = c->next) {
         bool late = c->phase == PX_C_OPENING && received_until - c->sent_at > NO_GREETING_US;
         if (late && in->last_received < c->sent_at)
@@ -377,7 +377,8 @@
  * have been noticed. */
 static bool is_confirmed_outlier(const struct px_inst *in)
 {
-    return in->outlier_since && px_heard(in->p) - in->outlier_since > OUTLIER_CONFIRM_US;
+    return in->outlier_since &&
+           px_received_until(in->p) - in->outlier_since > OUTLIER_CONFIRM_US;
 }
 
 static bool is_behind(const struct px_inst *in, int64_t received_until)
@@ -394,7 +395,7 @@
         if (i == g->cfg.primary || g->cfg.inst[i].draining)
             continue;
         v.replicas++;
-        v.behind += is_behind(g->inst[i], px_heard(g->p));
+        v.behind += is_behind(g->inst[i], px_received_until(g->p));
     }
     return v;
 }
@@ -403,7 +404,7 @@
 static bool needs_handover(struct px_inst *in)
 {
     struct px_handover_view v = handover_view(in->group);
-    return px_handover_due(&in->group->handover, &v, px_heard(in->p));
+    return px_handover_due(&in->group->handover, &v, px_received_until(in->p));
 }
 
 static bool is_sole_server(const struct px_inst *in)
@@ -476,8 +477,8 @@
 void px_inst_remove(struct px_inst *in)
 {
     in->removed = true;
-    in->next_removed = in->p->gone;
-    in->p->gone = in;
+    in->next_removed = in->p->removed_insts;
+    in->p->removed_insts = in;
     while (in->waiters) {
         struct px_session *s = in->waiters;
         px_inst_dequeue(in, s);
@@ -489,7 +490,7 @@
 
 void px_inst_free_if_removed(struct px_inst *in)
 {
-    struct px_inst **at = &in->p->gone;
+    struct px_inst **at = &in->p->removed_insts;
     if (!in->removed || in->n_conns > 0)
         return;
     while (*at && *at != in)
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -16,7 +16,7 @@
 #include "proxy/read_choice.h"
 #include "proxy/handover.h"
 #include "proxy/proxy.h"
-#include "proxy/question.h"
+#include "proxy/pending.h"
 #include "proxy/stages.h"
 #include "proxy/state.h"
 #include "proxy/window.h"
@@ -150,8 +150,8 @@
 
 /* What a session's statement waits for. */
 enum px_stage {
-    PX_S_REST,        /* there is none */
-    PX_S_BEGUN,       /* its first look, which may refuse it */
+    PX_S_IDLE,        /* there is none */
+    PX_S_STARTED,     /* its first look, which may refuse it */
     PX_S_PARKED,      /* a primary, a lease, a position, or the next try */
     PX_S_WAITING,     /* a connection to `inst` */
     PX_S_AT_INSTANCE, /* its answer, on `conn` */
@@ -159,31 +159,31 @@
 
 /* An operation and its account's limit. */
 enum px_permit {
-    PX_P_NONE, /* no operation, or one that needs no permit */
-    PX_P_DUE,  /* it begins when there is a permit */
-    PX_P_HAS,
+    PX_PERMIT_NONE,   /* no operation, or one that needs no permit */
+    PX_PERMIT_NEEDED, /* it begins when there is a permit */
+    PX_PERMIT_TAKEN,
 };
 
 /* A client account at this node. */
 struct px_account {
     char name[AC_NAME];
-    struct lm_stock stock;
+    struct lm_stock permits;
     uint64_t begun, refused; /* operations; refused for the limit */
 };
 
 /* Why this node closed a caller's connection. */
-enum px_end {
-    PX_END_BY_CALLER,   /* it said so */
-    PX_END_REFUSED,     /* by an error that ends the session */
-    PX_END_ELSEWHERE,   /* it rested, and another node is the place for it now */
-    PX_END_NOT_TAKEN,   /* relayed to us: another holder is to be asked */
-    PX_END_HOLDER_ENDS, /* the node that served it ends it */
-    PX_END_HOLDER_LOST, /* the connection to the node that served it is gone */
-    PX_END_SILENT,      /* the node that served it is silent: another is the place for it */
-    PX_END_NO_HOLDER,   /* no node opened it */
-    PX_END_NOT_READ,    /* the node that serves it takes no more */
-    PX_END_LEFT,        /* told to leave, it did not in time */
-    PX_ENDS
+enum px_end_reason {
+    PX_END_BY_CALLER,     /* it said so */
+    PX_END_REFUSED,       /* by an error that ends the session */
+    PX_END_MOVED,         /* it rested, and another node is the place for it now */
+    PX_END_NOT_ACCEPTED,  /* relayed to us: another holder is to be asked */
+    PX_END_HOLDER_CLOSED, /* the node that served it ends it */
+    PX_END_HOLDER_LOST,   /* the connection to the node that served it is gone */
+    PX_END_HOLDER_SILENT, /* the node that served it is silent: another is the place for it */
+    PX_END_NO_HOLDER,     /* no node opened it */
+    PX_END_QUEUE_FULL,    /* the node that serves it takes no more */
+    PX_END_TIMEOUT,       /* told to leave, it did not in time */
+    PX_END_REASONS
 };
 
 /* A caller's connection and what belongs to it. */
@@ -194,46 +194,46 @@
     /* the connection */
     struct nt_conn *net; /* NULL: the caller has gone */
     bool ended;          /* it was closed here, for this reason */
-    enum px_end end;
+    enum px_end_reason end_reason;
     struct sr_buf in;       /* what has come and is not taken yet */
-    bool reading;           /* its input is being worked through */
-    bool paused;            /* more than a message of input: not read on */
+    bool handling_input;    /* its input is being worked through */
+    bool reading_paused;    /* more than a message of input: not read on */
     bool opened;            /* greeted by us */
-    bool came_relayed;      /* another node relays it to us */
-    bool to_pass_on;        /* and reaches no holder itself: we may relay it once more */
+    bool relayed_to_us;     /* another node relays it to us */
+    bool may_pass_on;       /* and reaches no holder itself: we may relay it once more */
     struct px_relay *relay; /* another node serves it; NULL: we do */
     int64_t opened_at;
-    int64_t left_at; /* it was ended here, and who relays it is told; 0: not so */
-    int64_t since;   /* it connected, or its last statement ended */
+    int64_t end_sent_at; /* it was ended here, and who relays it is told; 0: not so */
+    int64_t idle_since;  /* it connected, or its last statement ended */
 
     /* what it keeps from statement to statement */
     char database[CG_NAME];
-    char key[AC_KEY];        /* that its caller showed; in no log */
-    char account[AC_NAME];   /* of its operation; what instances are told */
-    uint64_t least_document; /* who relays it acts on this version: no older one may answer */
-    struct px_state state;   /* values and prepared names */
-    struct ps_pos seen;      /* its last commit, in group `seen_in` */
-    char seen_in[VW_NAME];
+    char key[AC_KEY];          /* that its caller showed; in no log */
+    char account[AC_NAME];     /* of its operation; what instances are told */
+    uint64_t min_document;     /* who relays it acts on this version: no older one may answer */
+    struct px_state state;     /* values and prepared names */
+    struct ps_pos last_commit; /* its last commit, in group `seen_in` */
+    char last_commit_group[VW_NAME];
 
     enum px_permit permit; /* of its operation */
 
     /* its transaction */
     enum px_txn txn;
-    bool read_only;
-    bool begun; /* at the instance, too */
-    bool wrote;
-    bool lost;             /* it failed because its connection went: nothing of it is left */
+    bool txn_read_only;
+    bool txn_begun; /* at the instance, too */
+    bool txn_wrote;
+    bool txn_rolled_back;  /* it failed because its connection went: nothing of it is left */
     struct cg_route route; /* of the transaction, or of the statement */
     struct px_conn *conn;  /* at work for it, or pinned by its transaction */
 
     /* its statement */
     enum px_stage stage;
     struct px_session *prev_active, *next_active; /* the proxy's, with a statement */
-    struct sr_buf line;                           /* holds the id and the text */
+    struct sr_buf request;                        /* holds the id and the text */
     struct sr_str id, text;
     struct px_stmt stmt; /* the text, taken apart */
     bool writes;
-    unsigned kind; /* px_statement_kind */
+    unsigned pace_kind; /* px_statement_kind */
     int64_t arrived, deadline;
     bool has_floor;
     struct ps_pos floor; /* what a read must see */
@@ -244,10 +244,10 @@
     int64_t waiting_since;
     int64_t retry_at; /* PX_S_PARKED: looked at again then */
     int64_t sent_at;
-    int64_t part_since; /* its present px_part began */
-    int attempts;       /* those that count against the route's */
-    int offers;         /* how often it was sent */
-    unsigned skip;      /* bits of instances that could not serve it */
+    int64_t stage_since; /* its present px_part began */
+    int attempts;        /* those that count against the route's */
+    int offers;          /* how often it was sent */
+    unsigned skip_mask;  /* bits of instances that could not serve it */
 };
 
 /* Kinds of peers other than callers, for counting bytes. */
@@ -277,17 +277,19 @@
     uint64_t behind;  /* an instance lacked a read's position */
     uint64_t retries; /* another try of a statement */
     uint64_t parked;
-    uint64_t lost;               /* connections, with a statement on them */
-    uint64_t opened;             /* connections to instances */
-    uint64_t replaced;           /* of these, closed for another account's */
-    uint64_t unknown_keys;       /* operations and sessions refused for their key */
-    uint64_t relayed;            /* sessions that another node serves */
-    uint64_t by_others;          /* of these, by way of a node that is no holder */
-    uint64_t passed_on;          /* sessions that came relayed and went on to a holder */
-    uint64_t trials;             /* of nodes that were doubted or silent */
-    uint64_t silent_told;        /* questions whose node was silent, answered here */
-    uint64_t passed, served;     /* statements passed to other nodes; served for others */
-    uint64_t ends[PX_ENDS], cut; /* sessions that were closed here; with a question open */
+    uint64_t lost_conns;        /* connections, with a statement on them */
+    uint64_t opened_conns;      /* connections to instances */
+    uint64_t replaced_conns;    /* of these, closed for another account's */
+    uint64_t unknown_keys;      /* operations and sessions refused for their key */
+    uint64_t relayed;           /* sessions that another node serves */
+    uint64_t relayed_by_others; /* of these, by way of a node that is no holder */
+    uint64_t passed_on;         /* sessions that came relayed and went on to a holder */
+    uint64_t trials;            /* of nodes that were doubted or silent */
+    uint64_t silent_told;       /* questions whose node was silent, answered here */
+    uint64_t statements_relayed,
+        statements_served; /* statements passed to other nodes; served for others */
+    uint64_t ends[PX_END_REASONS],
+        cut; /* sessions that were closed here; with a question open */
     uint64_t
         dropped; /* of these, with bytes that came after the close and were not looked at */
     uint64_t log_lines_left_out;
@@ -302,10 +304,10 @@
 
     /* what is in force */
     struct cg_catalog catalog;
-    struct cg_taking taking;          /* of `document` */
-    struct vw_document document;      /* is being taken in */
-    struct vw_document next_document; /* the newest, if another is being taken in */
-    uint64_t document_seen;           /* version of the newest */
+    struct cg_taking loading;            /* of `document` */
+    struct vw_document loading_document; /* is being taken in */
+    struct vw_document newest_document;  /* the newest, if another is being taken in */
+    uint64_t newest_version;             /* version of the newest */
     int n_groups;
     struct px_group **groups; /* sorted by name */
     int n_nodes;
@@ -315,15 +317,15 @@
     int64_t configured_at; /* the first document came */
     bool knew_nodes;       /* px_knows_nodes, when groups were looked at last */
     struct px_neighbor *neighbors;
-    struct px_inst *gone; /* not in the view, with connections still */
+    struct px_inst *removed_insts; /* not in the view, with connections still */
     int n_accounts;
     struct px_account *accounts; /* that had operations here */
     struct ix_index account_at;  /* numbers in `accounts` */
-    int64_t permits_until;       /* they end */
-    bool permits_untold;         /* the leader does not know what there is */
-    bool news;                   /* instances came, or groups to hold, since px_has_news */
+    int64_t permits_expire_at;   /* they end */
+    bool permits_unreported;     /* the leader does not know what there is */
+    bool has_changes;            /* instances came, or groups to hold, since px_has_news */
     int64_t leased_at;           /* when the lease was live last */
-    int64_t sought_at;           /* a session looked for a node that passes it on */
+    int64_t last_seek_at;        /* a session looked for a node that passes it on */
     int64_t isolated_until;      /* cut off, and no other node answers: none is asked before */
 
     /* sessions */
@@ -345,7 +347,7 @@
     struct nt_traffic served_traffic; /* with nodes whose sessions are served here */
     struct hi_hist latency_read, latency_write;
     struct px_stages stages;
-    int64_t stages_told_at; /* in the log */
+    int64_t stages_logged_at; /* in the log */
 };
 
 /* Count the bytes of a connection to an instance or node in that failure domain. */
@@ -358,27 +360,27 @@
  * with what the caller sent meanwhile. */
 void px_answer(struct px_session *s, const struct px_conn *from);
 /* The proxy itself carried the statement out: it ran nowhere. */
-void px_answer_own(struct px_session *s);
+void px_answer_local(struct px_session *s);
 /* The statement, at work or not, ends with this failure; go on as after px_answer. */
 void px_refuse(struct px_session *s, enum er_kind kind, const char *detail);
 /* What was asked of a relayed session ran nowhere. */
 void px_refuse_relayed(struct px_session *s, enum er_kind kind, const char *detail);
 /* Instead of a greeting: this node is cut off, and so are those that it reaches. */
-void px_fail_cut_off(struct px_session *s);
+void px_fail_disconnected(struct px_session *s);
 /* Close the caller's connection, at once or after what is queued, and note why: a caller whose
  * question is open does not learn whether it ran. */
-void px_close(struct px_session *s, enum px_end why, bool at_once);
-const char *px_end_name(enum px_end why);
+void px_close(struct px_session *s, enum px_end_reason why, bool at_once);
+const char *px_end_reason_name(enum px_end_reason why);
 /* So many bytes came after px_close and were not looked at. */
 void px_note_dropped(struct px_session *s, size_t bytes);
 /* Close the connection of a session at rest. False, and it stays open: its caller has said
  * something that is not read yet, or is still being told something, which comes first. */
-bool px_close_resting(struct px_session *s, enum px_end why);
+bool px_close_idle(struct px_session *s, enum px_end_reason why);
 /* The same for a session at rest that another node may relay to us: that node is told, and what
  * still comes is not run. Whoever ends a session asks again until its connection is closed. */
-void px_end_resting(struct px_session *s, enum px_end why);
+void px_end_idle(struct px_session *s, enum px_end_reason why);
 /* When in a span it is this session's turn: they don't all come back at once. */
-int64_t px_turn(const struct px_session *s, int64_t span_us);
+int64_t px_stagger_us(const struct px_session *s, int64_t span_us);
 /* A failure that ends the session. */
 void px_fail_and_close(struct px_session *s, enum er_kind kind, const char *detail);
 
@@ -401,31 +403,31 @@
 /* Take the operation's permit if it is due. */
 enum lm_verdict px_permit_take(struct px_session *s);
 /* A statement of the operation is sent once more, and may have run before: it counts again. */
-void px_permit_again(struct px_session *s);
+void px_permit_charge_retry(struct px_session *s);
 /* The operation is over the limit: how it is refused. */
-void px_permit_refuse(struct px_session *s);
+void px_refuse_over_limit(struct px_session *s);
 
 /* session.c: the caller's connection */
 bool px_listen(struct px_proxy *p, struct er_err *err);
 /* Work through what the caller sent while its last statement was at work. */
-void px_session_go_on(struct px_session *s);
+void px_session_resume(struct px_session *s);
 /* Look at all sessions: whose time to open, to rest or to stay is over. */
 void px_sessions_slow_tick(struct px_proxy *p, int64_t now);
 
 /* proxy.c: what was heard */
 /* What peers had said by this time was taken in. A verdict that one of them is silent, or that
  * something has not come, compares with it: after a long step more waits in the sockets. */
-int64_t px_heard(const struct px_proxy *p);
+int64_t px_received_until(const struct px_proxy *p);
 
 /* proxy.c: the lease */
 /* A lease outlives an election; who has none for longer is on its own. */
-enum { PX_CUT_OFF_US = 300000 };
+enum { PX_DISCONNECTED_US = 300000 };
 
 /* Whether no term of the view was replaced. */
 bool px_leased(const struct px_proxy *p);
 /* Without a lease for so long that this node is probably cut off from control, and others are
  * not. */
-bool px_cut_off(const struct px_proxy *p);
+bool px_disconnected(const struct px_proxy *p);
 
 /* relay.c: sessions that another node serves */
 /* Whether another node holds the session's group, or probably has connections to it while this
@@ -433,13 +435,13 @@
 bool px_should_relay(const struct px_session *s);
 void px_relay_start(struct px_session *s);
 /* What the caller of a relayed session says. */
-void px_relay_bytes(struct px_session *s, const char *data, size_t len);
+void px_relay_input(struct px_session *s, const char *data, size_t len);
 /* The caller has gone; nothing happens if the session is not relayed. */
-void px_relay_end(struct px_session *s);
+void px_relay_stop(struct px_session *s);
 void px_relay_tick(struct px_session *s, int64_t now);
 /* Whether another node opens this session for a caller of its own; *document: the version that
  * it acts on; *pass_on: it reaches no holder of the group. */
-bool px_is_relayed(const struct px_msg *open, uint64_t *document, bool *pass_on);
+bool px_parse_relayed(const struct px_msg *open, uint64_t *document, bool *pass_on);
 /* Why a session is opened at another node. */
 enum px_hello {
     PX_HELLO_TRIAL,  /* to see whether it greets, whatever it acts on */
@@ -449,14 +451,14 @@
 void px_relay_hello(struct px_proxy *p, struct nt_conn *net, const char *database,
                     const char *key, enum px_hello why);
 /* Whether a question of the relayed session's went to the other node and has no answer yet. */
-bool px_asked_elsewhere(const struct px_session *s);
+bool px_relay_pending(const struct px_session *s);
 /* Whether a relayed session has neither a statement nor a transaction at the other node. */
-bool px_rests_elsewhere(const struct px_session *s);
+bool px_relay_idle(const struct px_session *s);
 
 /* targets.c: where sessions are relayed to */
 enum { PX_MAX_TRIES = 16 }; /* nodes that are asked for one session */
 
-struct px_tries {
+struct px_tried_nodes {
     int n;
     struct px_neighbor *nb[PX_MAX_TRIES];
 };
@@ -465,9 +467,9 @@
     bool passes_on; /* it holds nothing itself */
 };
 /* The group of the session's database: a relayed session takes no route here. */
-struct px_group *px_wanted_group(const struct px_session *s);
+struct px_group *px_database_group(const struct px_session *s);
 /* `seeks`: the session is at a look for a node that passes it on. */
-struct px_target px_next_target(const struct px_session *s, const struct px_tries *t,
+struct px_target px_next_target(const struct px_session *s, const struct px_tried_nodes *t,
                                 bool seeks, int64_t now);
 
 /* neighbors.c: the state of the other nodes, and trials of them */
@@ -525,11 +527,11 @@
 /* The statement is over, or its session is; nothing is told. */
 void px_end_work(struct px_session *s);
 /* The statement's present stage is over, and is counted as that part. */
-void px_part_done(struct px_session *s, enum px_part part);
+void px_stage_done(struct px_session *s, enum px_part part);
 /* Look at it again at that time, or in the first tick after. */
 void px_park(struct px_session *s, int64_t until);
 /* Another try, at once or later. False: it counts, and there were as many as are allowed. */
-bool px_try_again(struct px_session *s, int64_t after_us, bool counts);
+bool px_retry(struct px_session *s, int64_t after_us, bool counts);
 /* Whether no further try that counts is allowed. */
 bool px_last_try(const struct px_session *s);
 /* Every tick: whether it waits too long where it is. */
@@ -537,11 +539,11 @@
 
 /* outcome.c: what comes of a statement */
 /* The connection has the whole answer. */
-void px_answered(struct px_session *s, struct px_conn *c);
+void px_on_answer(struct px_session *s, struct px_conn *c);
 /* Nothing of the statement was sent. */
-void px_not_sent(struct px_session *s, struct px_conn *c, enum er_kind why);
+void px_on_not_sent(struct px_session *s, struct px_conn *c, enum er_kind why);
 /* The connection died; `sent`: with the statement on it. */
-void px_lost(struct px_session *s, struct px_conn *c, bool sent);
+void px_on_conn_lost(struct px_session *s, struct px_conn *c, bool sent);
 /* Its time is up. */
 void px_expire(struct px_session *s);
 /* The session's transaction ends here: roll back what is open. */
@@ -597,9 +599,9 @@
 /* documents.c: the document that is in force */
 
 /* The view's, which may be the one that is in force. */
-void px_document(struct px_proxy *p, const struct vw_document *d);
+void px_load_document(struct px_proxy *p, const struct vw_document *d);
 /* Whether an older one is acted on while a newer one is being taken in. */
-bool px_document_due(const struct px_proxy *p);
+bool px_document_loading(const struct px_proxy *p);
 void px_documents_tick(struct px_proxy *p);
 
 /* groups.c: groups and instances of the view */
--- a/quorum/quorum.h
+++ b/quorum/quorum.h
@@ -138,7 +138,7 @@
 void qr_destroy(struct qr *q);
 /* What had come by `heard` was delivered; it is not after `now`. Silence is counted up to it.
  */
-void qr_tick(struct qr *q, int64_t now, int64_t heard);
+void qr_tick(struct qr *q, int64_t now, int64_t received_until);
 void qr_receive(struct qr *q, const struct qr_msg *m, int64_t now);
 void qr_persisted(struct qr *q, uint64_t seq, int64_t now);
 
@@ -150,9 +150,9 @@
 bool qr_promote_learner(struct qr *q, uint64_t id, int64_t now, struct er_err *err);
 bool qr_remove(struct qr *q, uint64_t id, int64_t now, struct er_err *err);
 /* The leader's heartbeat at once, ahead of a step that takes long. */
-void qr_beat(struct qr *q, int64_t now);
+void qr_send_heartbeat(struct qr *q, int64_t now);
 /* Ask the best follower to take over; the caller stops granting leases first. */
-void qr_hand_over(struct qr *q, int64_t now);
+void qr_transfer_leadership(struct qr *q, int64_t now);
 /* The application's state up to `index` is `data`: drop the entries below. */
 void qr_compact(struct qr *q, uint64_t index, const char *data, uint32_t len);
 
@@ -167,7 +167,7 @@
 /* A member's confirmed position; leader only. */
 uint64_t qr_match(const struct qr *q, uint64_t id);
 /* When the member was heard last, 0 never; leader only. */
-int64_t qr_heard(const struct qr *q, uint64_t id);
+int64_t qr_last_contact(const struct qr *q, uint64_t id);
 /* Until when a quorum vouches that nobody else leads, 0 if not leading or if no entry of this
  * term is committed yet. Counted from the sending of a round that a quorum answered, plus the
  * shortest election timeout. */
