--- a/proxy/work.c
+++ b/proxy/work.c
@@ -94,7 +94,8 @@
         .has_conn = idle || (!accounts && px_inst_has_room(in, now)),
         /* A transaction that rests between two statements holds a connection, but no slot. */
         .outstanding = px_inst_running(in) + in->n_waiters,
-        .service_us = px_service_time_expect(&g->service_times, s->pace_kind, in->service_factor),
+        .service_us =
+            px_service_time_expect(&g->service_times, s->pace_kind, in->service_factor),
         .failure_rate = px_outlier_failure_rate(&in->outlier, now),
         .distance = rt_distance(s->p->cfg.domain, in->cfg.domain),
         .known_pos = in->known_pos,
