--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -256,7 +256,7 @@
 
 /* Another entry node that sessions are or were relayed to. */
 struct px_neighbor {
-    struct px_neighbor *next; /* the proxy's */
+    struct px_neighbor *next; /* list link of the proxy's neighbors */
     struct px_proxy *p;
     char name[32], ip[46], domain[32];
     int port;
