--- a/proxy/holders.c
+++ b/proxy/holders.c
@@ -83,8 +83,9 @@
     int64_t strong_capacity;
     int k = conns > 0 ? clamp_holders(conns / CONNS_PER_HOLDER_WITH_ACCOUNTS) : MIN_HOLDERS;
     int n_strong = ho_count_strong(p->nodes, p->n_nodes, &strong_capacity);
-    int min_holders = n_strong + ho_count_domains_without_strong(p->nodes, p->n_nodes);
-    return min_holders < k && strong_suffice(p, n_strong, strong_capacity) ? min_holders : k;
+    int strong_holders = n_strong + ho_count_domains_without_strong(p->nodes, p->n_nodes);
+    return strong_holders < k && strong_suffice(p, n_strong, strong_capacity) ? strong_holders
+                                                                              : k;
 }
 
 /* The number of holders such that each has a few connections; 0: all nodes. */
@@ -170,7 +171,7 @@
 {
     const struct px_proxy *p = s->p;
     const struct pl_placement *placement = px_account_placement(g, s->account);
-    ho_order(p->nodes, g->holders, g->n_holders, g->cfg.name, s->account, out);
+    ho_order_for_account(p->nodes, g->holders, g->n_holders, g->cfg.name, s->account, out);
     for (int k = 0; placement && k < placement->n; k++) {
         int at = placement->holder[(s->state.session + (uint64_t)k) % placement->n], i = k;
         while (out[i] != at)
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -44,7 +44,7 @@
     struct px_conn *next; /* list link of the instance's connections */
     struct px_inst *inst;
     struct nt_conn *net;
-    struct sr_buf in; /* what has come and is not taken yet */
+    struct sr_buf input; /* bytes received but not yet parsed */
     bool closing;
     char account[AC_NAME]; /* the account that it was opened for; px_identify */
     int64_t last_used_at;  /* when the last statement was sent on it, or it was opened */
@@ -64,8 +64,8 @@
     struct sr_buf signature;
     bool complete_seen; /* PX_DONE was received */
     enum er_kind error;
-    char detail[160]; /* detail of the error, truncated */
-    enum px_txn state;
+    char detail[160];  /* detail of the error, truncated */
+    enum px_txn state; /* transaction state after the answer */
     bool has_pos;
     struct ps_pos pos;
 };
@@ -99,7 +99,7 @@
     int n_waiters;
 
     /* reachability */
-    int64_t last_received; /* last sign of life */
+    int64_t last_received; /* when the last bytes arrived */
     /* When opening a connection failed; 0: something was received since. */
     int64_t connect_failed_at;
     /* An open connection was lost; a new one is to show whether the instance is alive. */
@@ -256,7 +256,7 @@
 
 /* Another entry node that sessions are or were relayed to. */
 struct px_neighbor {
-    struct px_neighbor *next; /* the proxy's */
+    struct px_neighbor *next; /* list link of the proxy's neighbors */
     struct px_proxy *p;
     char name[32], ip[46], domain[32];
     int port;
@@ -592,7 +592,7 @@
 void px_conn_rollback(struct px_conn *c);
 /* The connection has no open transaction: serves other sessions. */
 void px_conn_idle(struct px_conn *c);
-/* Its end is reported to the session it works for, by px_on_conn_lost. */
+/* Closes the connection; the close is reported to its session by px_lost. */
 void px_conn_close(struct px_conn *c);
 void px_conn_tick(struct px_conn *c, int64_t now);
 
