--- a/entry/entry.h
+++ b/entry/entry.h
@@ -321,7 +321,7 @@
 /* link.c */
 void en_links_start(struct en_node *n);
 /* The settings name other control nodes. */
-void en_links_seeds(struct en_node *n);
+void en_links_update_seeds(struct en_node *n);
 void en_links_tick(struct en_node *n, int64_t now);
 /* A control node is said to be there: connect to it, unless it is this node. */
 void en_link_learned(struct en_node *n, struct sr_str name, struct sr_str ip, int port);
--- a/entry/link.c
+++ b/entry/link.c
@@ -377,7 +377,7 @@
         add_link(n, &p);
 }
 
-void en_links_seeds(struct en_node *n)
+void en_links_update_seeds(struct en_node *n)
 {
     for (int i = 0; i < EN_MAX_LINKS; i++)
         n->links[i].seed = false;
@@ -519,7 +519,7 @@
     n->leader = -1;
     n->nodes_hash = NL_EMPTY;
     n->next_renew = ck_now();
-    en_links_seeds(n);
+    en_links_update_seeds(n);
 }
 
 void en_links_tick(struct en_node *n, int64_t now)
--- a/ferryd/main.c
+++ b/ferryd/main.c
@@ -131,7 +131,7 @@
     d->s->n_seeds = fresh.n_seeds;
     st_free(&fresh);
     if (d->entry)
-        en_links_seeds(d->entry);
+        en_links_update_seeds(d->entry);
     FL_INFO(&d->log, "settings read again: %d control nodes are named", d->s->n_voters);
 }
 
