--- a/entry/caller.c
+++ b/entry/caller.c
@@ -43,8 +43,8 @@
     (void)opened;
     (void)refused;
     c->net = NULL;
-    en_caller_gone(c);
-    en_ups_caller_gone(c);
+    en_txns_caller_closed(c);
+    en_upstreams_caller_closed(c);
     en_caller_release(c);
 }
 
@@ -72,7 +72,7 @@
     return caller_new(n, net, false);
 }
 
-void en_callers_notice(struct en_node *n)
+void en_callers_notify_stop(struct en_node *n)
 {
     for (struct en_caller *c = n->callers; c; c = c->next) {
         if (c->net && !c->http)
@@ -93,7 +93,7 @@
     if (strcmp(req->path, "/v1/request") == 0 && strcmp(req->method, "POST") == 0)
         http_request(req, n);
     else
-        en_http(req);
+        en_handle_http(req);
 }
 
 bool en_callers_listen(struct en_node *n, struct er_err *err)
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -89,7 +89,7 @@
     }
     for (int i = 0; i < VW_MAX_INSTANCES; i++) {
         if (g->inst[i])
-            en_inst_gone(g->inst[i]);
+            en_inst_remove(g->inst[i]);
     }
     memcpy(g->inst, next, sizeof(next));
     memcpy(g->rt.inst, rt, sizeof(rt));
@@ -152,7 +152,7 @@
     for (int i = 0; i < v->n; i++)
         sync_group(n->groups[i], &v->groups[i]);
     if (more)
-        en_holding_changed(n);
+        en_update_holders(n);
 }
 
 /* Whether this node is one of the group's holders. */
@@ -168,7 +168,7 @@
     return held;
 }
 
-void en_holding_changed(struct en_node *n)
+void en_update_holders(struct en_node *n)
 {
     for (int i = 0; i < n->n_groups; i++) {
         struct en_group *g = n->groups[i];
@@ -178,7 +178,7 @@
         g->held = held;
         g->rests = false;
         for (int k = 0; k < g->cfg.n && !held; k++)
-            en_inst_let_go(g->inst[k]);
+            en_inst_release(g->inst[k]);
         en_unpark(g);
     }
 }
@@ -262,11 +262,11 @@
     g->rests = !g->held;
     for (int i = 0; i < g->cfg.n; i++) {
         struct en_inst *in = g->inst[i];
-        if (en_inst_rests(in))
+        if (en_inst_idle(in))
             continue;
         g->rests = false;
         en_pool_tick(in, now);
-        en_pump(in);
+        en_inst_dispatch(in);
     }
 }
 
@@ -278,8 +278,8 @@
     en_links_tick(n, now);
     if (n->s->observer)
         en_observer_tick(n);
-    en_sweep(n, now);
-    en_txn_sweep(n);
+    en_expire_requests(n, now);
+    en_txns_expire(n);
     if (n->px)
         px_tick(n->px, now);
     for (int g = 0; g < n->n_groups; g++) {
@@ -294,7 +294,7 @@
         nt_refuse_new(n->listener);
         if (n->px)
             px_refuse_new(n->px);
-        en_give_back(n);
+        en_release_lease(n);
         nt_timer_set(n->loop, &n->tick, FLUSH_US, stopped, n);
         return;
     }
@@ -312,7 +312,7 @@
     n->quiet_since = ck_now();
     if (n->s->off_finish)
         n->stop_by = 0;
-    en_callers_notice(n);
+    en_callers_notify_stop(n);
     if (n->px)
         px_stop(n->px, ck_now());
     n->next_renew = ck_now(); /* others are to hold its groups from now on */
@@ -327,7 +327,7 @@
 
 static void host_suspect(void *ud, const char *inst, enum wr_health health)
 {
-    en_tell_suspicion(ud, inst, health);
+    en_send_suspicion(ud, inst, health);
 }
 
 static bool start_proxy(struct en_node *n, struct er_err *err)
--- a/entry/entry.h
+++ b/entry/entry.h
@@ -27,7 +27,7 @@
 struct en_inst;
 struct en_req;
 struct en_txn;
-struct en_asker;
+struct en_subscriber;
 
 /* What an outside platform's interface brings; ferryd gives it to en_create. */
 struct en_interface {
@@ -48,12 +48,12 @@
 
 enum en_state {
     EN_NEW,
-    EN_QUEUED,    /* in an instance's admission queue */
-    EN_PARKED,    /* waits for a primary */
-    EN_SENT,      /* at an endpoint */
-    EN_HOLDING,   /* done there; waits until enough instances hold it */
-    EN_FORWARDED, /* at another entry node, which holds the group */
-    EN_LATER,     /* taken out of a queue; acted on in the loop's next turn */
+    EN_QUEUED,       /* in an instance's admission queue */
+    EN_PARKED,       /* waits for a primary */
+    EN_SENT,         /* at an endpoint */
+    EN_AWAIT_COPIES, /* done there; waits until enough instances hold it */
+    EN_FORWARDED,    /* at another entry node, which holds the group */
+    EN_DEFERRED,     /* taken out of a queue; acted on in the loop's next turn */
 };
 
 /* One request, from arrival to its one answer. */
@@ -80,11 +80,11 @@
     struct ps_pos pos; /* what it read or wrote */
     struct sr_buf value;
     bool duplicate;
-    struct en_up *up; /* EN_FORWARDED */
-    uint64_t up_tag;  /* what the holder's answer will carry */
+    struct en_upstream *up; /* EN_FORWARDED */
+    uint64_t up_tag;        /* what the holder's answer will carry */
     int forwards;
     bool may_have_run;       /* a write that may be repeated was sent and its answer lost */
-    enum er_kind later_kind; /* EN_LATER: ER_NONE routes anew, else the refusal */
+    enum er_kind later_kind; /* EN_DEFERRED: ER_NONE routes anew, else the refusal */
     int64_t later_retry;
 };
 
@@ -198,8 +198,8 @@
     struct en_req *later;
     struct nt_timer later_timer;
     struct en_txn *txns;
-    struct en_up *ups; /* connections to holders */
-    uint64_t up_tags;  /* drawn so far */
+    struct en_upstream *ups; /* connections to holders */
+    uint64_t up_tags;        /* drawn so far */
     int n_nodes;
     struct ho_node nodes[HO_MAX_NODES]; /* live entry nodes, as control says */
     uint64_t nodes_hash;                /* of that list */
@@ -210,8 +210,8 @@
     const struct en_interface *outside; /* NULL: our own interface only */
     struct px_proxy *px;                /* callers whose connection is a session; NULL none */
     struct en_link links[EN_MAX_LINKS];
-    int leader;              /* index of the link that answered last; -1 */
-    struct en_asker *askers; /* an observer's: who connected to it */
+    int leader;                   /* index of the link that answered last; -1 */
+    struct en_subscriber *askers; /* an observer's: who connected to it */
     int n_askers;
     int64_t next_renew;
     bool awaiting; /* the last renewal is unanswered */
@@ -247,7 +247,7 @@
 void en_ack_view(struct en_node *n);
 bool en_leased(const struct en_node *n);
 /* The nodes or the groups have changed: which groups this node holds. */
-void en_holding_changed(struct en_node *n);
+void en_update_holders(struct en_node *n);
 
 /* request.c, routing.c, replies.c */
 /* Answer with the value and a new token. */
@@ -255,48 +255,48 @@
 /* Between ms and twice that. */
 int64_t en_jitter(struct en_node *n, int64_t ms);
 /* Acknowledge once enough instances hold r->pos. */
-void en_hold(struct en_req *r);
+void en_await_copies(struct en_req *r);
 /* Wait, within bounds, for the group's next primary. */
 void en_park(struct en_req *r);
 void en_submit(struct en_caller *c, const char *text, size_t len);
 void en_route(struct en_req *r);
 void en_answer(struct en_req *r, const struct cl_answer *a);
 void en_fail(struct en_req *r, enum er_kind kind, int64_t retry_ms, const char *detail);
-void en_reply(struct en_req *r, struct en_ep *ep, const struct ep_reply *rep);
+void en_handle_reply(struct en_req *r, struct en_ep *ep, const struct ep_reply *rep);
 /* The connection died with the request on it. */
-void en_lost(struct en_req *r);
+void en_connection_lost(struct en_req *r);
 /* A commit ran: wait until enough instances hold it, then acknowledge. */
 void en_commit_done(struct en_req *r);
-void en_held_moved(struct en_group *g);
+void en_held_pos_changed(struct en_group *g);
 void en_unpark(struct en_group *g);
-void en_sweep(struct en_node *n, int64_t now);
+void en_expire_requests(struct en_node *n, int64_t now);
 /* Route (ER_NONE) or refuse in the loop's next turn: safe while requests are being walked. */
-void en_later(struct en_req *r, enum er_kind kind, int64_t retry_ms);
+void en_defer(struct en_req *r, enum er_kind kind, int64_t retry_ms);
 void en_drop_term(struct en_group *g);
 int en_writes_in_flight(const struct en_group *g);
 
 /* pool.c */
 void en_inst_init(struct en_inst *in, struct en_node *n, struct en_group *g, int at,
                   const struct vw_instance *cfg);
-void en_pump(struct en_inst *in);
+void en_inst_dispatch(struct en_inst *in);
 /* Nothing is to be done for it: this node does not hold its group. */
-bool en_inst_rests(const struct en_inst *in);
+bool en_inst_idle(const struct en_inst *in);
 void en_pool_tick(struct en_inst *in, int64_t now);
 void en_ep_release(struct en_ep *ep);
 void en_ep_close(struct en_ep *ep);
 bool en_ep_send(struct en_ep *ep, struct en_req *r, struct ep_request *q);
-bool en_usable(const struct en_inst *in);
-void en_inst_gone(struct en_inst *in);
+bool en_inst_usable(const struct en_inst *in);
+void en_inst_remove(struct en_inst *in);
 /* This node does not hold the group any more: what waits goes elsewhere, what runs ends here.
  */
-void en_inst_let_go(struct en_inst *in);
+void en_inst_release(struct en_inst *in);
 
 /* forward.c */
-struct en_up;
+struct en_upstream;
 void en_forward(struct en_req *r);
 /* The request is answered otherwise: its answer from the holder goes nowhere. */
-void en_up_forget(struct en_req *r);
-void en_ups_caller_gone(struct en_caller *c);
+void en_upstream_forget(struct en_req *r);
+void en_upstreams_caller_closed(struct en_caller *c);
 /* Pass a holder's answer on as it is; `text` lacks its closing brace (cl_untag). */
 void en_relay(struct en_req *r, const char *text, size_t len, enum er_kind kind);
 
@@ -306,17 +306,17 @@
 void en_txn_reply(struct en_req *r, struct en_ep *ep, const struct ep_reply *rep);
 void en_txn_end(struct en_txn *t, bool rollback);
 void en_txn_conn_lost(struct en_txn *t);
-void en_caller_gone(struct en_caller *c);
-void en_txn_sweep(struct en_node *n);
+void en_txns_caller_closed(struct en_caller *c);
+void en_txns_expire(struct en_node *n);
 /* The group's term ended: its open transactions are lost. */
-void en_txn_drop(struct en_group *g);
+void en_txns_drop(struct en_group *g);
 int en_txns_open(const struct en_group *g);
 
 /* caller.c */
 bool en_callers_listen(struct en_node *n, struct er_err *err);
 void en_caller_release(struct en_caller *c);
 /* A planned stop: callers are told to go elsewhere and to close. */
-void en_callers_notice(struct en_node *n);
+void en_callers_notify_stop(struct en_node *n);
 
 /* link.c */
 void en_links_start(struct en_node *n);
@@ -324,12 +324,12 @@
 void en_links_update_seeds(struct en_node *n);
 void en_links_tick(struct en_node *n, int64_t now);
 /* A control node is said to be there: connect to it, unless it is this node. */
-void en_link_learned(struct en_node *n, struct sr_str name, struct sr_str ip, int port);
+void en_link_add(struct en_node *n, struct sr_str name, struct sr_str ip, int port);
 void en_send_ack(struct en_node *n, uint64_t generation);
 /* A planned stop: the lease and the shares go back. */
-void en_give_back(struct en_node *n);
-void en_suspect(struct en_inst *in, enum wr_health health);
-void en_tell_suspicion(struct en_node *n, const char *inst, enum wr_health health);
+void en_release_lease(struct en_node *n);
+void en_report_inst(struct en_inst *in, enum wr_health health);
+void en_send_suspicion(struct en_node *n, const char *inst, enum wr_health health);
 
 /* observer.c: a control node without a disk */
 /* Take connections from entry and control nodes. True, and nothing done, if n is no observer.
@@ -339,6 +339,6 @@
 void en_observer_tick(struct en_node *n);
 
 /* ops.c */
-void en_http(const struct nt_http *req);
+void en_handle_http(const struct nt_http *req);
 
 #endif
--- a/entry/forward.c
+++ b/entry/forward.c
@@ -10,8 +10,8 @@
 #include "entry/entry.h"
 #include "misc/clock.h"
 
-struct en_up {
-    struct en_up *next; /* the node's */
+struct en_upstream {
+    struct en_upstream *next; /* the node's */
     struct en_node *node;
     bool shared;              /* by all callers; else a caller's for transactions of a group */
     struct en_caller *caller; /* NULL: gone, or shared */
@@ -43,7 +43,7 @@
     return r;
 }
 
-void en_up_forget(struct en_req *r)
+void en_upstream_forget(struct en_req *r)
 {
     struct en_req **lists[] = {&r->up->sent, &r->up->unsent};
     for (int k = 0; k < 2; k++) {
@@ -59,7 +59,7 @@
 
 /* ---- sending ---- */
 
-static void send_one(struct en_up *up, struct en_req *r)
+static void send_one(struct en_upstream *up, struct en_req *r)
 {
     struct sr_buf b = {0};
     struct cl_request q = r->r;
@@ -72,7 +72,7 @@
     add(sent ? &up->sent : &up->unsent, r);
 }
 
-static void count_txn(struct en_up *up, const struct en_req *r, enum er_kind kind)
+static void count_txn(struct en_upstream *up, const struct en_req *r, enum er_kind kind)
 {
     if (r->r.kind == CL_BEGIN && kind == ER_NONE)
         up->txns++;
@@ -83,7 +83,7 @@
 
 static void on_open(struct nt_conn *net, void *ud)
 {
-    struct en_up *up = ud;
+    struct en_upstream *up = ud;
     (void)net;
     up->open = true;
     while (up->unsent) {
@@ -109,7 +109,7 @@
     return !r->r.txn[0] && (kind == ER_STOPPING || kind == ER_ENDPOINT);
 }
 
-static void answered(struct en_up *up, struct en_req *r, const char *data, size_t len,
+static void answered(struct en_upstream *up, struct en_req *r, const char *data, size_t len,
                      enum er_kind kind)
 {
     count_txn(up, r, kind);
@@ -117,7 +117,7 @@
         /* A holder that gave up one group goes on with what it holds of others. */
         up->leaving = up->leaving || !up->shared || kind == ER_STOPPING;
         r->forwards++;
-        en_later(r, ER_NONE, 0);
+        en_defer(r, ER_NONE, 0);
         return;
     }
     en_relay(r, data, len, kind);
@@ -125,7 +125,7 @@
 
 static void on_message(struct nt_conn *net, void *ud, const char *data, size_t len)
 {
-    struct en_up *up = ud;
+    struct en_upstream *up = ud;
     json_t *a = json_loadb(data, len, 0, NULL);
     size_t rest = len;
     uint64_t tag = cl_untag(data, &rest);
@@ -145,14 +145,14 @@
 }
 
 /* What was sent may have run; what was not goes elsewhere. */
-static void fail_all(struct en_up *up)
+static void fail_all(struct en_upstream *up)
 {
     struct en_req *r;
     while ((r = up->unsent)) {
         up->unsent = r->chain;
         r->up = NULL;
         r->forwards++;
-        en_later(r, ER_NONE, 0);
+        en_defer(r, ER_NONE, 0);
     }
     while ((r = up->sent)) {
         FL_VERBOSE(&up->node->log, "holder %s closed while it owed an answer to %s %s%s",
@@ -165,13 +165,13 @@
         if (r->r.txn[0] && r->r.kind != CL_COMMIT)
             en_fail(r, ER_BAD_TXN, 0, "the transaction was lost with its entry node");
         else
-            en_lost(r);
+            en_connection_lost(r);
     }
 }
 
 static void on_close(struct nt_conn *net, void *ud, bool opened, bool refused)
 {
-    struct en_up *up = ud, **at = &up->node->ups;
+    struct en_upstream *up = ud, **at = &up->node->ups;
     (void)net;
     (void)opened;
     (void)refused;
@@ -205,21 +205,21 @@
 
 /* Shared ones first: they are looked for at every statement, past none of the thousands that
  * callers' transactions may have. */
-static void link_up(struct en_node *n, struct en_up *up)
+static void link_up(struct en_node *n, struct en_upstream *up)
 {
-    struct en_up **at = &n->ups;
+    struct en_upstream **at = &n->ups;
     while (!up->shared && *at)
         at = &(*at)->next;
     up->next = *at;
     *at = up;
 }
 
-static struct en_up *up_for(struct en_req *r)
+static struct en_upstream *up_for(struct en_req *r)
 {
     struct en_node *n = r->caller->node;
     bool pinned = r->r.txn[0] != 0, own = pinned || r->r.kind == CL_BEGIN;
     const struct ho_node *h = choose(n, r->group, r->forwards);
-    for (struct en_up *up = n->ups; up; up = up->next) {
+    for (struct en_upstream *up = n->ups; up; up = up->next) {
         bool mine = own && up->caller == r->caller && up->group == r->group;
         bool common = !own && up->shared && h && strcmp(up->holder, h->name) == 0;
         if ((mine || common) && (!up->leaving || pinned))
@@ -227,7 +227,7 @@
     }
     if (!h)
         return NULL;
-    struct en_up *up = sr_alloc(sizeof(*up));
+    struct en_upstream *up = sr_alloc(sizeof(*up));
     up->node = n;
     up->shared = !own;
     up->caller = own ? r->caller : NULL;
@@ -245,7 +245,7 @@
         en_fail(r, ER_ENDPOINT, 50, "this node holds no connections to the group");
         return;
     }
-    struct en_up *up = up_for(r);
+    struct en_upstream *up = up_for(r);
     if (!up) {
         en_fail(r, ER_ENDPOINT, 200, "no holder of the group is known");
         return;
@@ -258,9 +258,9 @@
         add(&up->unsent, r);
 }
 
-void en_ups_caller_gone(struct en_caller *c)
+void en_upstreams_caller_closed(struct en_caller *c)
 {
-    for (struct en_up *up = c->node->ups; up; up = up->next) {
+    for (struct en_upstream *up = c->node->ups; up; up = up->next) {
         if (up->caller != c)
             continue;
         up->caller = NULL; /* its address may be used again */
--- a/entry/link.c
+++ b/entry/link.c
@@ -138,7 +138,7 @@
     renew(n, l, now, false);
 }
 
-void en_give_back(struct en_node *n)
+void en_release_lease(struct en_node *n)
 {
     if (n->px)
         px_permits_discard(n->px);
@@ -291,7 +291,7 @@
     ho_prepare(n->nodes, n->n_nodes);
     if (n->px)
         px_nodes(n->px, n->nodes, n->n_nodes);
-    en_holding_changed(n);
+    en_update_holders(n);
 }
 
 static enum wr_health health_by_watch(const struct en_inst *in, int64_t now)
@@ -316,7 +316,7 @@
     send_msg(l, &m);
 }
 
-void en_suspect(struct en_inst *in, enum wr_health health)
+void en_report_inst(struct en_inst *in, enum wr_health health)
 {
     struct en_node *n = in->node;
     int64_t now = ck_now();
@@ -326,10 +326,10 @@
     in->suspected = now;
     tl_add(n->tl, TL_SUSPECT, g->cfg.name, g->cfg.term, "%s %s", in->cfg.id,
            health == WR_REFUSED ? "refuses" : "does not answer");
-    en_tell_suspicion(n, in->cfg.id, health);
+    en_send_suspicion(n, in->cfg.id, health);
 }
 
-void en_tell_suspicion(struct en_node *n, const char *inst, enum wr_health health)
+void en_send_suspicion(struct en_node *n, const char *inst, enum wr_health health)
 {
     struct wr_msg m = {.type = WR_SUSPECT};
     m.check.inst = sr_from(inst);
@@ -369,7 +369,7 @@
            strcmp(p->ip, n->s->control_ip) == 0;
 }
 
-void en_link_learned(struct en_node *n, struct sr_str name, struct sr_str ip, int port)
+void en_link_add(struct en_node *n, struct sr_str name, struct sr_str ip, int port)
 {
     struct st_peer p = {.port = port};
     if (sr_copy(p.name, sizeof(p.name), name) && sr_copy(p.ip, sizeof(p.ip), ip) &&
@@ -412,7 +412,7 @@
     }
     for (uint32_t i = 0; i < list->n; i++) {
         const struct wr_node *x = &list->nodes[i];
-        en_link_learned(n, x->name, x->ip, (int)x->port);
+        en_link_add(n, x->name, x->ip, (int)x->port);
     }
 }
 
--- a/entry/observer.c
+++ b/entry/observer.c
@@ -9,8 +9,8 @@
 #include "entry/entry.h"
 
 /* A connection that another process opened to us. */
-struct en_asker {
-    struct en_asker *next;
+struct en_subscriber {
+    struct en_subscriber *next;
     struct en_node *node;
     struct nt_conn *net;
     bool greeted;
@@ -19,7 +19,7 @@
 
 enum { MAX_ASKERS = 2048 }; /* connections; as many as a control node takes (CT_MAX_CONNS) */
 
-static void send_msg(struct en_asker *c, const struct wr_msg *m)
+static void send_msg(struct en_subscriber *c, const struct wr_msg *m)
 {
     struct sr_buf b = {0};
     wr_encode(&b, m);
@@ -54,7 +54,7 @@
     uint64_t hash;
     uint32_t k = reachable(n, nodes, &hash);
     struct wr_msg m = {.type = WR_CONTROLS, .nodes = {k, nodes}};
-    for (struct en_asker *c = n->askers; k > 0 && c; c = c->next) {
+    for (struct en_subscriber *c = n->askers; k > 0 && c; c = c->next) {
         if (!c->greeted || c->told == hash)
             continue;
         c->told = hash;
@@ -63,7 +63,7 @@
 }
 
 /* It grants nothing: whoever asks is told who does, as far as it knows. */
-static void answer_renewal(struct en_asker *c)
+static void answer_renewal(struct en_subscriber *c)
 {
     struct wr_msg m = {.type = WR_NOT_LEADER, .leader = sr_from(en_leader_name(c->node))};
     send_msg(c, &m);
@@ -71,7 +71,7 @@
 
 /* ---- hearing ---- */
 
-static void on_hello(struct en_asker *c, const struct wr_hello *h)
+static void on_hello(struct en_subscriber *c, const struct wr_hello *h)
 {
     struct en_node *n = c->node;
     const char *wrong = wr_hello_wrong(h, n->s->cluster, n->id);
@@ -82,12 +82,12 @@
     }
     c->greeted = true;
     if (h->role == WR_ROLE_CONTROL)
-        en_link_learned(n, h->name, h->ip, (int)h->port);
+        en_link_add(n, h->name, h->ip, (int)h->port);
 }
 
 static void on_message(struct nt_conn *net, void *ud, const char *data, size_t len)
 {
-    struct en_asker *c = ud;
+    struct en_subscriber *c = ud;
     struct wr_msg m;
     struct er_err err = {0};
     if (!wr_decode(&c->node->dec, data, len, &m, &err)) {
@@ -110,7 +110,7 @@
 
 static void on_close(struct nt_conn *net, void *ud, bool opened, bool refused)
 {
-    struct en_asker *c = ud, **at = &c->node->askers;
+    struct en_subscriber *c = ud, **at = &c->node->askers;
     (void)net;
     (void)opened;
     (void)refused;
@@ -128,7 +128,7 @@
     struct en_node *n = ud;
     if (n->n_askers >= MAX_ASKERS)
         return NULL;
-    struct en_asker *c = sr_alloc(sizeof(*c));
+    struct en_subscriber *c = sr_alloc(sizeof(*c));
     c->node = n;
     c->net = net;
     c->next = n->askers;
--- a/entry/ops.c
+++ b/entry/ops.c
@@ -191,7 +191,7 @@
                      groups);
 }
 
-void en_http(const struct nt_http *req)
+void en_handle_http(const struct nt_http *req)
 {
     struct en_node *n = req->ud;
     if (n->outside && n->outside->http(n, req))
--- a/entry/pool.c
+++ b/entry/pool.c
@@ -37,7 +37,7 @@
     return in->status_sent && nt_heard_until(in->node->loop) - in->status_sent >= us;
 }
 
-bool en_usable(const struct en_inst *in)
+bool en_inst_usable(const struct en_inst *in)
 {
     if (!in->watch || !in->watch->open)
         return false;
@@ -54,7 +54,7 @@
     in->applied = r->applied;
     in->following = r->following;
     rt_record_applied(&g->rt, in->at, r->applied, now);
-    en_held_moved(g);
+    en_held_pos_changed(g);
 }
 
 static void on_status(struct en_ep *ep, const struct ep_reply *r, int64_t now)
@@ -113,7 +113,7 @@
     count_open(in);
     if (!in->gone)
         en_unpark(in->group);
-    en_pump(in);
+    en_inst_dispatch(in);
 }
 
 static void on_push(struct ep_conn *c, void *ud, const struct ep_reply *r)
@@ -157,7 +157,7 @@
             en_ep_close(ep); /* nobody owns the transaction it opened */
     }
     if (req)
-        en_reply(req, ep, r);
+        en_handle_reply(req, ep, r);
     if (!ep->txn && !ep->req)
         en_ep_release(ep);
 }
@@ -194,7 +194,7 @@
     free(ep);
     if (in->gone) {
         if (req)
-            en_lost(req);
+            en_connection_lost(req);
         if (txn)
             en_txn_conn_lost(txn);
         if (in->n_conns == 0)
@@ -205,12 +205,12 @@
     choose_watch(in);
     if (unasked) {
         in->next_open = ck_now() + (opened ? 0 : REOPEN_US);
-        en_suspect(in, refused ? WR_REFUSED : WR_SILENT);
+        en_report_inst(in, refused ? WR_REFUSED : WR_SILENT);
     }
     if (txn)
         en_txn_conn_lost(txn);
     if (req)
-        en_lost(req);
+        en_connection_lost(req);
 }
 
 static const struct ep_events events = {on_open, on_reply, on_push, on_close};
@@ -320,7 +320,7 @@
     return in->at == g->cfg.primary ? STATUS_US : STATUS_REPLICA_US;
 }
 
-bool en_inst_rests(const struct en_inst *in)
+bool en_inst_idle(const struct en_inst *in)
 {
     return !in->group->held && in->n_conns == 0 && in->q.queued == 0;
 }
@@ -339,7 +339,7 @@
     if (!w->status_id && now - w->status_at >= every)
         send_status(w, EP_STATUS, now);
     if (unanswered(in, SILENT_US))
-        en_suspect(in, WR_SILENT);
+        en_report_inst(in, WR_SILENT);
 }
 
 void en_ep_release(struct en_ep *ep)
@@ -349,7 +349,7 @@
         en_ep_close(ep);
         return;
     }
-    en_pump(in);
+    en_inst_dispatch(in);
 }
 
 /* ---- sending ---- */
@@ -403,7 +403,7 @@
     /* Nothing left this process: it may go elsewhere. */
     ad_dropped(&in->q);
     r->tried |= 1u << in->at;
-    en_later(r, ER_NONE, 0);
+    en_defer(r, ER_NONE, 0);
 }
 
 /* A request leaves the queue only to run under the view it was queued for. */
@@ -415,19 +415,19 @@
     return g->cfg.phase == VW_SERVING && g->cfg.primary == in->at && en_leased(in->node);
 }
 
-void en_pump(struct en_inst *in)
+void en_inst_dispatch(struct en_inst *in)
 {
     int64_t now = ck_now(), retry;
     struct ad_item *it;
     note_want(in);
     while ((it = ad_hopeless(&in->q, now, &retry)))
-        en_later((struct en_req *)it, ER_OVERLOAD, retry);
+        en_defer((struct en_req *)it, ER_OVERLOAD, retry);
     struct en_ep *ep;
     while (in->q.queued > 0 && (ep = idle_ep(in)) && (it = ad_next(&in->q, now))) {
         struct en_req *r = (struct en_req *)it;
         if (!still_right(in, r)) {
             ad_dropped(&in->q);
-            en_later(r, ER_NONE, 0);
+            en_defer(r, ER_NONE, 0);
             continue;
         }
         start(in, ep, r);
@@ -437,21 +437,21 @@
         open_one(in);
 }
 
-void en_inst_let_go(struct en_inst *in)
+void en_inst_release(struct en_inst *in)
 {
     struct ad_item *it;
     in->share = 0; /* the pool closes what is idle */
     while ((it = ad_pop_any(&in->q)))
-        en_later((struct en_req *)it, ER_NONE, 0);
+        en_defer((struct en_req *)it, ER_NONE, 0);
 }
 
 /* The instance left the view: what waits is routed anew, what runs may end. */
-void en_inst_gone(struct en_inst *in)
+void en_inst_remove(struct en_inst *in)
 {
     struct ad_item *it;
     in->gone = true;
     while ((it = ad_pop_any(&in->q)))
-        en_later((struct en_req *)it, ER_NONE, 0);
+        en_defer((struct en_req *)it, ER_NONE, 0);
     if (in->n_conns == 0) {
         free(in);
         return;
--- a/entry/replies.c
+++ b/entry/replies.c
@@ -44,24 +44,24 @@
     en_succeed(r);
 }
 
-void en_hold(struct en_req *r)
+void en_await_copies(struct en_req *r)
 {
     struct en_group *g = r->group;
     if (holders(g, r->pos) >= g->cfg.copies || g->node->s->off_copies) {
         acknowledge(r);
         return;
     }
-    r->state = EN_HOLDING;
+    r->state = EN_AWAIT_COPIES;
     r->chain = g->holding;
     g->holding = r;
 }
 
 void en_commit_done(struct en_req *r)
 {
-    en_hold(r);
+    en_await_copies(r);
 }
 
-void en_held_moved(struct en_group *g)
+void en_held_pos_changed(struct en_group *g)
 {
     struct en_req *r = g->holding;
     while (r) {
@@ -85,13 +85,13 @@
     }
     /* What was read at the primary must not vanish with it: wait like a write. */
     n->c.reads_primary++;
-    en_hold(r);
+    en_await_copies(r);
 }
 
 static void refused(struct en_req *r, struct en_inst *in)
 {
     /* The instance did not run it: this view is older than its term. */
-    en_suspect(in, WR_UNKNOWN);
+    en_report_inst(in, WR_UNKNOWN);
     en_park(r);
 }
 
@@ -105,7 +105,7 @@
     return !ps_covers(rep->pos, r->min, g->starts, g->n_starts);
 }
 
-void en_reply(struct en_req *r, struct en_ep *ep, const struct ep_reply *rep)
+void en_handle_reply(struct en_req *r, struct en_ep *ep, const struct ep_reply *rep)
 {
     struct en_inst *in = ep->inst;
     r->ep = NULL;
@@ -145,7 +145,7 @@
     }
     in->node->c.writes++;
     r->pos = rep->pos;
-    en_hold(r);
+    en_await_copies(r);
 }
 
 static bool may_retry(struct en_req *r)
@@ -163,7 +163,7 @@
     return true;
 }
 
-void en_lost(struct en_req *r)
+void en_connection_lost(struct en_req *r)
 {
     r->ep = NULL;
     r->state = EN_NEW;
--- a/entry/request.c
+++ b/entry/request.c
@@ -45,7 +45,7 @@
         while (*g->parked_tail)
             g->parked_tail = &(*g->parked_tail)->chain;
         g->n_parked--;
-    } else if (r->state == EN_HOLDING) {
+    } else if (r->state == EN_AWAIT_COPIES) {
         unchain(&g->holding, r);
     } else if (r->state == EN_SENT && r->ep && r->ep->req == r) {
         r->ep->req = NULL;
@@ -55,7 +55,7 @@
     } else if (r->state == EN_QUEUED) {
         ad_remove(&r->inst->q, &r->item);
     } else if (r->state == EN_FORWARDED && r->up) {
-        en_up_forget(r);
+        en_upstream_forget(r);
     }
     r->ep = NULL;
     r->state = EN_NEW;
@@ -163,7 +163,7 @@
 {
     int n = 0;
     for (const struct en_req *r = g->node->reqs; r; r = r->next) {
-        bool at_work = r->state == EN_SENT || r->state == EN_HOLDING;
+        bool at_work = r->state == EN_SENT || r->state == EN_AWAIT_COPIES;
         n += r->group == g && r->at_primary && at_work;
     }
     return n;
@@ -182,18 +182,18 @@
             r->ep->req = NULL;
             r->ep->orphan = true;
             r->ep = NULL;
-            en_later(r, ER_NONE, 0); /* it changed nothing: ask the next primary */
-        } else if (r->state == EN_SENT || r->state == EN_HOLDING) {
+            en_defer(r, ER_NONE, 0); /* it changed nothing: ask the next primary */
+        } else if (r->state == EN_SENT || r->state == EN_AWAIT_COPIES) {
             en_fail(r, ER_REPLACED, 0, "the primary was replaced while the statement ran");
         }
     }
-    en_txn_drop(g);
+    en_txns_drop(g);
 }
 
 /* Somebody may have run it. */
 static bool away(const struct en_req *r)
 {
-    return r->state == EN_SENT || r->state == EN_HOLDING || r->state == EN_FORWARDED;
+    return r->state == EN_SENT || r->state == EN_AWAIT_COPIES || r->state == EN_FORWARDED;
 }
 
 static enum er_kind past_deadline(const struct en_req *r)
@@ -214,16 +214,16 @@
 {
     if (r->state != EN_SENT || r->r.kind != CL_READ || r->txn || r->at_primary || !r->inst)
         return false;
-    return !en_usable(r->inst) && heard - r->ep->sent_at > READ_SILENT_US;
+    return !en_inst_usable(r->inst) && heard - r->ep->sent_at > READ_SILENT_US;
 }
 
-void en_sweep(struct en_node *n, int64_t now)
+void en_expire_requests(struct en_node *n, int64_t now)
 {
     struct en_req *next;
     int64_t heard = nt_heard_until(n->loop);
     for (struct en_req *r = n->reqs; r; r = next) {
         next = r->next;
-        if (r->state == EN_LATER)
+        if (r->state == EN_DEFERRED)
             continue;
         if ((away(r) ? heard : now) >= r->deadline) {
             en_fail(r, past_deadline(r), en_jitter(n, 50), "the deadline passed");
@@ -234,7 +234,7 @@
             r->tried |= 1u << r->inst->at;
             ep->req = NULL;
             en_ep_close(ep);
-            en_later(r, ER_NONE, 0);
+            en_defer(r, ER_NONE, 0);
         }
     }
 }
--- a/entry/routing.c
+++ b/entry/routing.c
@@ -73,10 +73,10 @@
     }
 }
 
-void en_later(struct en_req *r, enum er_kind kind, int64_t retry_ms)
+void en_defer(struct en_req *r, enum er_kind kind, int64_t retry_ms)
 {
     struct en_node *n = r->caller->node;
-    r->state = EN_LATER;
+    r->state = EN_DEFERRED;
     r->later_kind = kind;
     r->later_retry = retry_ms;
     r->chain = n->later;
@@ -103,7 +103,7 @@
         struct en_inst *in = g->inst[i];
         /* A primary on its way out may hold what nobody else does and nobody ever will. */
         bool leaving = g->cfg.phase != VW_SERVING && i == g->cfg.primary;
-        rt->inst[i].usable = en_usable(in) && !leaving && follows(in);
+        rt->inst[i].usable = en_inst_usable(in) && !leaving && follows(in);
         rt->inst[i].draining = g->cfg.inst[i].draining;
         rt->inst[i].in_flight = in->q.in_flight + in->q.queued;
         rt->inst[i].limit = in->q.limit >= 1 ? (int)in->q.limit : 1;
@@ -128,7 +128,7 @@
     r->item.first = r->r.priority > 0;
     if (ad_offer(&in->q, &r->item, now, &retry)) {
         r->state = EN_QUEUED;
-        en_pump(in);
+        en_inst_dispatch(in);
         return;
     }
     r->tried |= 1u << in->at;
@@ -151,8 +151,8 @@
         en_fail(r, ER_NO_LEASE, en_jitter(g->node, NO_LEASE_RETRY_MS), NULL);
         return;
     }
-    if (!en_usable(in)) {
-        en_suspect(in, in->refusing ? WR_REFUSED : WR_SILENT);
+    if (!en_inst_usable(in)) {
+        en_report_inst(in, in->refusing ? WR_REFUSED : WR_SILENT);
         en_park(r);
         return;
     }
--- a/entry/txn.c
+++ b/entry/txn.c
@@ -56,7 +56,7 @@
     t->ep = NULL;
 }
 
-void en_txn_drop(struct en_group *g)
+void en_txns_drop(struct en_group *g)
 {
     for (struct en_txn *t = g->node->txns; t; t = t->next) {
         if (t->group == g && t->ep)
@@ -207,7 +207,7 @@
 
 /* ---- ends that nobody asked for ---- */
 
-void en_caller_gone(struct en_caller *c)
+void en_txns_caller_closed(struct en_caller *c)
 {
     struct en_txn *next;
     for (struct en_txn *t = c->node->txns; t; t = next) {
@@ -217,7 +217,7 @@
     }
 }
 
-void en_txn_sweep(struct en_node *n)
+void en_txns_expire(struct en_node *n)
 {
     struct en_txn *next;
     int64_t heard = nt_heard_until(n->loop);
