--- a/entry/entry.c
+++ b/entry/entry.c
@@ -76,13 +76,13 @@
     for (int i = 0; i < v->n; i++) {
         struct en_inst *in = take_inst(g, v->inst[i].id);
         if (in) {
-            rt[i] = g->rt.inst[in->at];
+            rt[i] = g->rt.inst[in->index];
         } else {
             in = sr_alloc(sizeof(*in));
             en_inst_init(in, g->node, g, i, &v->inst[i]);
             rt[i].lag_us = SAMPLES_LAG;
         }
-        in->at = i;
+        in->index = i;
         in->cfg = v->inst[i];
         rt[i].distance = rt_distance(g->node->s->domain, in->cfg.domain);
         next[i] = in;
@@ -125,7 +125,7 @@
 {
     bool moved = g->cfg.term != v->term || g->cfg.phase != v->phase;
     sync_instances(g, v);
-    g->rests = false;
+    g->idle = false;
     g->cfg = *v;
     g->rt.n_starts = v->n_starts;
     memcpy(g->rt.starts, v->starts, sizeof(v->starts));
@@ -176,7 +176,7 @@
         if (held == g->held)
             continue;
         g->held = held;
-        g->rests = false;
+        g->idle = false;
         for (int k = 0; k < g->cfg.n && !held; k++)
             en_inst_release(g->inst[k]);
         en_unpark(g);
@@ -198,14 +198,14 @@
 
 void en_ack_view(struct en_node *n)
 {
-    if (n->acked == n->view.generation || (n->px && !px_settled(n->px)))
+    if (n->acked_generation == n->view.generation || (n->px && !px_settled(n->px)))
         return;
     for (int i = 0; i < n->n_groups; i++) {
         if (n->groups[i]->drain_until)
             return;
     }
-    n->acked = n->view.generation;
-    en_send_ack(n, n->acked);
+    n->acked_generation = n->view.generation;
+    en_send_ack(n, n->acked_generation);
 }
 
 /* ---- time ---- */
@@ -246,25 +246,25 @@
  * not understand the notice are given a while after the last answer. */
 static bool may_end(struct en_node *n, int64_t now)
 {
-    if (now > n->stop_by)
+    if (now > n->stop_deadline)
         return true;
     if (n->px)
         return px_stopped(n->px, now);
     if (n->n_reqs > 0 || n->txns)
-        n->quiet_since = now;
-    return n->n_callers == 0 || nt_heard_until(n->loop) - n->quiet_since > LINGER_US;
+        n->idle_since = now;
+    return n->n_callers == 0 || nt_heard_until(n->loop) - n->idle_since > LINGER_US;
 }
 
 /* A group that is held elsewhere rests once its connections are closed: hundreds of them are
  * not looked at in every tick. */
 static void group_tick(struct en_group *g, int64_t now)
 {
-    g->rests = !g->held;
+    g->idle = !g->held;
     for (int i = 0; i < g->cfg.n; i++) {
         struct en_inst *in = g->inst[i];
         if (en_inst_idle(in))
             continue;
-        g->rests = false;
+        g->idle = false;
         en_pool_tick(in, now);
         en_inst_dispatch(in);
     }
@@ -285,7 +285,7 @@
     for (int g = 0; g < n->n_groups; g++) {
         struct en_group *group = n->groups[g];
         drain_tick(group);
-        if (!group->rests)
+        if (!group->idle)
             group_tick(group, now);
     }
     en_ack_view(n);
@@ -308,14 +308,14 @@
     n->stopping = true;
     n->stopped = done;
     n->stopped_ud = ud;
-    n->stop_by = ck_now() + CK_MS(n->s->stop_ms);
-    n->quiet_since = ck_now();
+    n->stop_deadline = ck_now() + CK_MS(n->s->stop_ms);
+    n->idle_since = ck_now();
     if (n->s->off_finish)
-        n->stop_by = 0;
+        n->stop_deadline = 0;
     en_callers_notify_stop(n);
     if (n->px)
         px_stop(n->px, ck_now());
-    n->next_renew = ck_now(); /* others are to hold its groups from now on */
+    n->next_renew_at = ck_now(); /* others are to hold its groups from now on */
     tl_add(n->tl, TL_STOP, "", 0, "planned stop, %d requests to finish", n->n_reqs);
     FL_INFO(&n->log, "stopping: %d requests to finish", n->n_reqs);
 }
@@ -335,7 +335,7 @@
     const struct st_settings *s = n->s;
     if (!s->sessions.port)
         return true;
-    if (!n->outside)
+    if (!n->interface)
         return er_set(err, ER_CONFIG, "entry.sessions needs an interface that speaks lines");
     struct px_config cfg = {.name = s->name,
                             .domain = s->domain,
@@ -344,8 +344,8 @@
                             .max_sessions = s->max_callers,
                             .grace_us = CK_MS(s->grace_ms ? s->grace_ms : s->stop_ms),
                             .seed = n->id,
-                            .codec = n->outside->sessions,
-                            .documents = n->outside->documents,
+                            .codec = n->interface->sessions,
+                            .documents = n->interface->documents,
                             .host = {host_leased, host_suspect, n}};
     n->px = px_create(n->loop, &cfg, err);
     return n->px != NULL;
@@ -364,7 +364,7 @@
     randombytes_buf(&n->id, sizeof(n->id));
     n->id |= 1;
     n->rng = rn_seed(n->id);
-    n->outside = outside;
+    n->interface = outside;
     n->lease_lost_at = INT64_MIN / 2;
     if (s->secret[0])
         ss_key_from(&n->key, sr_from(s->secret));
--- a/entry/entry.h
+++ b/entry/entry.h
@@ -58,74 +58,74 @@
 
 /* One request, from arrival to its one answer. */
 struct en_req {
-    struct ad_item item;        /* first: the queue gives it back */
-    struct en_req *prev, *next; /* all live requests of the node */
-    struct en_req *chain;       /* in the group's parked or holding list */
+    struct ad_item item;         /* first: the queue gives it back */
+    struct en_req *prev, *next;  /* all live requests of the node */
+    struct en_req *next_waiting; /* in the group's parked or holding list */
     struct en_caller *caller;
-    struct cl_request r;
+    struct cl_request req;
     struct en_group *group;
     struct en_inst *inst;
     struct en_ep *ep;
     struct en_txn *txn;
     enum en_state state;
-    int64_t arrived, deadline, parked_at;
+    int64_t arrived_at, deadline, parked_at;
     bool has_token;
     struct ps_pos token; /* what the session has seen */
-    struct ps_pos min;
+    struct ps_pos min_pos;
     int64_t wait_us;
     bool at_primary;
-    unsigned tried; /* bits of instances that could not serve it */
+    unsigned tried_mask; /* bits of instances that could not serve it */
     int attempts;
     uint64_t term;     /* it was sent under */
     struct ps_pos pos; /* what it read or wrote */
     struct sr_buf value;
     bool duplicate;
-    struct en_upstream *up; /* EN_FORWARDED */
-    uint64_t up_tag;        /* what the holder's answer will carry */
+    struct en_upstream *upstream; /* EN_FORWARDED */
+    uint64_t upstream_tag;        /* what the holder's answer will carry */
     int forwards;
-    bool may_have_run;       /* a write that may be repeated was sent and its answer lost */
-    enum er_kind later_kind; /* EN_DEFERRED: ER_NONE routes anew, else the refusal */
-    int64_t later_retry;
+    bool may_have_run;          /* a write that may be repeated was sent and its answer lost */
+    enum er_kind deferred_kind; /* EN_DEFERRED: ER_NONE routes anew, else the refusal */
+    int64_t deferred_retry_ms;
 };
 
 /* An endpoint connection. */
 struct en_ep {
     struct en_ep *next;
     struct en_inst *inst;
-    struct ep_conn *c;
+    struct ep_conn *conn;
     bool open, closing;
     struct en_req *req; /* at work for; NULL idle */
     uint64_t req_id;    /* what its reply will carry; 0 idle */
     enum ep_op op;
-    bool orphan; /* its request was given up; the reply goes nowhere */
+    bool discard_reply; /* its request was given up; the reply goes nowhere */
     uint64_t last_id;
     int64_t sent_at;
     struct en_txn *txn; /* pinned by */
-    bool watching;      /* this connection carries pushes and status polls */
-    uint64_t status_id;
-    int64_t status_at;
+    bool is_status_ep;  /* this connection carries pushes and status polls */
+    uint64_t status_req_id;
+    int64_t status_sent_at;
     bool rolling_back;
 };
 
 struct en_inst {
     struct en_node *node;
     struct en_group *group;
-    int at; /* index in the group */
+    int index; /* index in the group */
     struct vw_instance cfg;
-    struct ad_queue q;
+    struct ad_queue queue;
     int share;   /* connections this node may hold */
     int n_conns; /* open and opening */
     struct en_ep *eps;
-    struct en_ep *watch;
-    struct ps_pos held, applied;
-    uint64_t following;         /* term of the primary whose log it takes */
-    int64_t heard, status_sent; /* last sign of life; last unanswered status */
-    int64_t next_open;          /* no new connection before */
-    int64_t suspected;          /* last told to control */
+    struct en_ep *status_ep;
+    struct ps_pos held_pos, applied_pos;
+    uint64_t followed_term;                /* term of the primary whose log it takes */
+    int64_t last_received, status_sent_at; /* last sign of life; last unanswered status */
+    int64_t next_open_at;                  /* no new connection before */
+    int64_t suspected_at;                  /* last told to control */
     bool refusing;
-    bool gone;
-    int peak_want;
-    int named; /* renewals that name it still */
+    bool removed;
+    int peak_demand;
+    int renewals_left; /* renewals that name it still */
 };
 
 struct en_txn {
@@ -135,7 +135,7 @@
     struct en_group *group;
     struct en_ep *ep; /* NULL: lost, rolled back */
     uint64_t term;
-    int64_t used;
+    int64_t last_used;
     bool busy, wrote;
     struct ps_pos token;
 };
@@ -146,16 +146,16 @@
     uint64_t serve_term; /* acknowledgements are given for this term only; 0 none */
     int64_t
         drain_until; /* planned change: statements in flight may finish until then; 0 none */
-    bool rests;      /* nothing to do for it in a tick */
+    bool idle;       /* nothing to do for it in a tick */
     uint16_t n_holders, holders[HO_MAX_HOLDERS]; /* in the node's `nodes`, best first */
     bool held; /* this node holds connections to its instances */
     struct en_inst *inst[VW_MAX_INSTANCES];
     struct rt_group rt;
     struct en_req *parked, **parked_tail;
     int n_parked;
-    struct en_req *holding;
-    int64_t used;         /* when a request came last */
-    uint64_t first_write; /* term in which a write was acknowledged first */
+    struct en_req *awaiting_copies;
+    int64_t last_request_at;   /* when a request came last */
+    uint64_t first_write_term; /* term in which a write was acknowledged first */
 };
 
 struct en_counters {
@@ -164,7 +164,7 @@
     uint64_t reads_primary, reads_replica, reads_behind, writes, commits, rollbacks;
     uint64_t forwarded, retries, retry_denied, late_replies, parked, waited, duplicates;
     uint64_t bad_tokens, lease_lost, views, snapshots;
-    uint64_t renewed; /* instances named in renewals */
+    uint64_t renewed_instances; /* instances named in renewals */
 };
 
 /* A connection to one control node. */
@@ -195,11 +195,11 @@
     int n_groups;
     struct en_group **groups;
     struct en_req *reqs;
-    struct en_req *later;
-    struct nt_timer later_timer;
+    struct en_req *deferred;
+    struct nt_timer deferred_timer;
     struct en_txn *txns;
-    struct en_upstream *ups; /* connections to holders */
-    uint64_t up_tags;        /* drawn so far */
+    struct en_upstream *upstreams; /* connections to holders */
+    uint64_t upstream_tags;        /* drawn so far */
     int n_nodes;
     struct ho_node nodes[HO_MAX_NODES]; /* live entry nodes, as control says */
     uint64_t nodes_hash;                /* of that list */
@@ -207,20 +207,20 @@
     struct en_caller *callers;
     uint64_t txn_seq;
     double retry_budget;
-    const struct en_interface *outside; /* NULL: our own interface only */
-    struct px_proxy *px;                /* callers whose connection is a session; NULL none */
+    const struct en_interface *interface; /* NULL: our own interface only */
+    struct px_proxy *px;                  /* callers whose connection is a session; NULL none */
     struct en_link links[EN_MAX_LINKS];
-    int leader;                   /* index of the link that answered last; -1 */
-    struct en_subscriber *askers; /* an observer's: who connected to it */
-    int n_askers;
-    int64_t next_renew;
-    bool awaiting; /* the last renewal is unanswered */
-    uint64_t shares_seq, acked;
+    int leader;                        /* index of the link that answered last; -1 */
+    struct en_subscriber *subscribers; /* an observer's: who connected to it */
+    int n_subscribers;
+    int64_t next_renew_at;
+    bool renewal_pending; /* the last renewal is unanswered */
+    uint64_t shares_seq, acked_generation;
     struct wr_decoder dec;
     struct nt_timer tick;
     struct nt_listener *listener;
     bool stopping;
-    int64_t stop_by, quiet_since;
+    int64_t stop_deadline, idle_since;
     void (*stopped)(void *ud);
     void *stopped_ud;
     struct en_counters c;
--- a/entry/forward.c
+++ b/entry/forward.c
@@ -28,33 +28,33 @@
 static void add(struct en_req **list, struct en_req *r)
 {
     while (*list)
-        list = &(*list)->chain;
-    r->chain = NULL;
+        list = &(*list)->next_waiting;
+    r->next_waiting = NULL;
     *list = r;
 }
 
 static struct en_req *take(struct en_req **list, uint64_t tag)
 {
-    while (*list && (*list)->up_tag != tag)
-        list = &(*list)->chain;
+    while (*list && (*list)->upstream_tag != tag)
+        list = &(*list)->next_waiting;
     struct en_req *r = *list;
     if (r)
-        *list = r->chain;
+        *list = r->next_waiting;
     return r;
 }
 
 void en_upstream_forget(struct en_req *r)
 {
-    struct en_req **lists[] = {&r->up->sent, &r->up->unsent};
+    struct en_req **lists[] = {&r->upstream->sent, &r->upstream->unsent};
     for (int k = 0; k < 2; k++) {
         struct en_req **at = lists[k];
         while (*at && *at != r)
-            at = &(*at)->chain;
+            at = &(*at)->next_waiting;
         if (*at)
-            *at = r->chain;
+            *at = r->next_waiting;
     }
-    r->chain = NULL;
-    r->up = NULL;
+    r->next_waiting = NULL;
+    r->upstream = NULL;
 }
 
 /* ---- sending ---- */
@@ -62,9 +62,9 @@
 static void send_one(struct en_upstream *up, struct en_req *r)
 {
     struct sr_buf b = {0};
-    struct cl_request q = r->r;
+    struct cl_request q = r->req;
     int64_t left = (r->deadline - ck_now()) / 1000;
-    q.tag = r->up_tag = ++up->node->up_tags;
+    q.tag = r->upstream_tag = ++up->node->upstream_tags;
     cl_write_request(&b, &q, left > 1 ? left : 1);
     up->node->c.forwarded++;
     bool sent = nt_send(up->net, b.p, b.len);
@@ -74,9 +74,9 @@
 
 static void count_txn(struct en_upstream *up, const struct en_req *r, enum er_kind kind)
 {
-    if (r->r.kind == CL_BEGIN && kind == ER_NONE)
+    if (r->req.kind == CL_BEGIN && kind == ER_NONE)
         up->txns++;
-    bool ended = r->r.kind == CL_COMMIT || r->r.kind == CL_ROLLBACK || kind == ER_BAD_TXN;
+    bool ended = r->req.kind == CL_COMMIT || r->req.kind == CL_ROLLBACK || kind == ER_BAD_TXN;
     if (ended && up->txns > 0)
         up->txns--;
 }
@@ -88,7 +88,7 @@
     up->open = true;
     while (up->unsent) {
         struct en_req *r = up->unsent;
-        up->unsent = r->chain;
+        up->unsent = r->next_waiting;
         send_one(up, r);
     }
 }
@@ -106,7 +106,7 @@
 /* The holder stops, or does not hold the group: certainly not run, so another may. */
 static bool elsewhere(const struct en_req *r, enum er_kind kind)
 {
-    return !r->r.txn[0] && (kind == ER_STOPPING || kind == ER_ENDPOINT);
+    return !r->req.txn[0] && (kind == ER_STOPPING || kind == ER_ENDPOINT);
 }
 
 static void answered(struct en_upstream *up, struct en_req *r, const char *data, size_t len,
@@ -133,8 +133,8 @@
         up->leaving = true;
     struct en_req *r = a && tag ? take(&up->sent, tag) : NULL;
     if (r) {
-        r->up = NULL;
-        r->chain = NULL;
+        r->upstream = NULL;
+        r->next_waiting = NULL;
         answered(up, r, data, rest, kind_of(a));
     } else if (tag) {
         up->node->c.late_replies++; /* its request was given up */
@@ -149,20 +149,20 @@
 {
     struct en_req *r;
     while ((r = up->unsent)) {
-        up->unsent = r->chain;
-        r->up = NULL;
+        up->unsent = r->next_waiting;
+        r->upstream = NULL;
         r->forwards++;
         en_defer(r, ER_NONE, 0);
     }
     while ((r = up->sent)) {
         FL_VERBOSE(&up->node->log, "holder %s closed while it owed an answer to %s %s%s",
-                   up->holder, cl_kind_name(r->r.kind), r->r.id,
+                   up->holder, cl_kind_name(r->req.kind), r->req.id,
                    up->leaving ? ", leaving" : "");
-        up->sent = r->chain;
-        r->up = NULL;
-        r->chain = NULL;
+        up->sent = r->next_waiting;
+        r->upstream = NULL;
+        r->next_waiting = NULL;
         r->forwards++;
-        if (r->r.txn[0] && r->r.kind != CL_COMMIT)
+        if (r->req.txn[0] && r->req.kind != CL_COMMIT)
             en_fail(r, ER_BAD_TXN, 0, "the transaction was lost with its entry node");
         else
             en_connection_lost(r);
@@ -171,7 +171,7 @@
 
 static void on_close(struct nt_conn *net, void *ud, bool opened, bool refused)
 {
-    struct en_upstream *up = ud, **at = &up->node->ups;
+    struct en_upstream *up = ud, **at = &up->node->upstreams;
     (void)net;
     (void)opened;
     (void)refused;
@@ -207,7 +207,7 @@
  * callers' transactions may have. */
 static void link_up(struct en_node *n, struct en_upstream *up)
 {
-    struct en_upstream **at = &n->ups;
+    struct en_upstream **at = &n->upstreams;
     while (!up->shared && *at)
         at = &(*at)->next;
     up->next = *at;
@@ -217,9 +217,9 @@
 static struct en_upstream *up_for(struct en_req *r)
 {
     struct en_node *n = r->caller->node;
-    bool pinned = r->r.txn[0] != 0, own = pinned || r->r.kind == CL_BEGIN;
+    bool pinned = r->req.txn[0] != 0, own = pinned || r->req.kind == CL_BEGIN;
     const struct ho_node *h = choose(n, r->group, r->forwards);
-    for (struct en_upstream *up = n->ups; up; up = up->next) {
+    for (struct en_upstream *up = n->upstreams; up; up = up->next) {
         bool mine = own && up->caller == r->caller && up->group == r->group;
         bool common = !own && up->shared && h && strcmp(up->holder, h->name) == 0;
         if ((mine || common) && (!up->leaving || pinned))
@@ -241,7 +241,7 @@
 void en_forward(struct en_req *r)
 {
     enum { MAX_FORWARDS = 4 };
-    if (r->r.hop || r->forwards >= MAX_FORWARDS) {
+    if (r->req.hop || r->forwards >= MAX_FORWARDS) {
         en_fail(r, ER_ENDPOINT, 50, "this node holds no connections to the group");
         return;
     }
@@ -251,7 +251,7 @@
         return;
     }
     r->state = EN_FORWARDED;
-    r->up = up;
+    r->upstream = up;
     if (up->open)
         send_one(up, r);
     else
@@ -260,7 +260,7 @@
 
 void en_upstreams_caller_closed(struct en_caller *c)
 {
-    for (struct en_upstream *up = c->node->ups; up; up = up->next) {
+    for (struct en_upstream *up = c->node->upstreams; up; up = up->next) {
         if (up->caller != c)
             continue;
         up->caller = NULL; /* its address may be used again */
--- a/entry/link.c
+++ b/entry/link.c
@@ -49,9 +49,9 @@
 
 static int wanted(struct en_inst *in)
 {
-    int want = in->peak_want < 1 ? 1 : in->peak_want;
-    in->peak_want -=
-        in->peak_want / 4; /* demand is forgotten slowly: a share costs time to get */
+    int want = in->peak_demand < 1 ? 1 : in->peak_demand;
+    in->peak_demand -=
+        in->peak_demand / 4; /* demand is forgotten slowly: a share costs time to get */
     return want;
 }
 
@@ -71,16 +71,16 @@
             uint32_t has = (uint32_t)held(in), want = (uint32_t)wanted(in);
             if (!n->groups[g]->held)
                 want = 0;
-            if (sh_name_in_renewal(&in->named, has, want))
+            if (sh_name_in_renewal(&in->renewals_left, has, want))
                 shares[k++] = (struct wr_share){sr_from(in->cfg.id), has, want};
         }
     }
     if (n->px)
         k = px_wanted_shares(n->px, shares, cap);
-    n->c.renewed += k;
+    n->c.renewed_instances += k;
     struct wr_msg m = {.type = WR_RENEW};
     m.renew = (struct wr_renew){.seq = ls_renewal_sent(&n->lease, now),
-                                .generation = n->acked,
+                                .generation = n->acked_generation,
                                 .hlc = ck_hlc_now(&n->tl->hlc),
                                 .stopping = stopping,
                                 .n = k,
@@ -118,8 +118,9 @@
  * of a lease (0.2 s) more. */
 static bool renewal_due(struct en_node *n, int64_t now)
 {
-    int64_t by = n->awaiting ? nt_heard_until(n->loop) : now; /* its answer may have come */
-    return by >= n->next_renew || (!n->awaiting && n->px && px_has_changes(n->px));
+    int64_t by =
+        n->renewal_pending ? nt_heard_until(n->loop) : now; /* its answer may have come */
+    return by >= n->next_renew_at || (!n->renewal_pending && n->px && px_has_changes(n->px));
 }
 
 /* A few renewals a lease; one that is not answered in time goes to the next control node. */
@@ -128,13 +129,13 @@
     if (!renewal_due(n, now))
         return;
     struct en_link *l = leader(n);
-    if (n->awaiting || !l || !l->open)
+    if (n->renewal_pending || !l || !l->open)
         next_leader(n);
     l = leader(n);
     if (!l || !l->open)
         return;
-    n->awaiting = true;
-    n->next_renew = now + CK_MS(n->s->election_ms);
+    n->renewal_pending = true;
+    n->next_renew_at = now + CK_MS(n->s->election_ms);
     renew(n, l, now, false);
 }
 
@@ -153,11 +154,11 @@
     int64_t now = ck_now();
     ck_hlc_seen(&n->tl->hlc, g->hlc);
     if (g->duration_ms == 0) {
-        n->next_renew = now + SEEK_US;
+        n->next_renew_at = now + SEEK_US;
         return;
     }
-    n->awaiting = false;
-    n->next_renew = now + CK_MS(g->duration_ms) / RENEW_PARTS;
+    n->renewal_pending = false;
+    n->next_renew_at = now + CK_MS(g->duration_ms) / RENEW_PARTS;
     if (g->generation > n->view.generation)
         return; /* the view that belongs to it has not come: no lease for an old one */
     ls_granted(&n->lease, g->seq, CK_MS(g->duration_ms));
@@ -178,12 +179,12 @@
 
 static void on_not_leader(struct en_node *n, struct sr_str name)
 {
-    n->awaiting = false;
-    n->next_renew = ck_now() + SEEK_US;
+    n->renewal_pending = false;
+    n->next_renew_at = ck_now() + SEEK_US;
     for (int i = 0; i < EN_MAX_LINKS; i++) {
         if (n->links[i].used && sr_eq(name, sr_from(n->links[i].peer.name))) {
             set_leader(n, i);
-            n->next_renew = ck_now();
+            n->next_renew_at = ck_now();
             return;
         }
     }
@@ -298,9 +299,10 @@
 {
     if (in->refusing)
         return WR_REFUSED;
-    if (in->watch && now - in->heard <= CHECK_FRESH_US)
+    if (in->status_ep && now - in->last_received <= CHECK_FRESH_US)
         return WR_OK;
-    bool unread = in->watch && nt_heard_until(in->node->loop) - in->heard <= CHECK_FRESH_US;
+    bool unread =
+        in->status_ep && nt_heard_until(in->node->loop) - in->last_received <= CHECK_FRESH_US;
     return unread ? WR_UNKNOWN : WR_SILENT;
 }
 
@@ -321,9 +323,9 @@
     struct en_node *n = in->node;
     int64_t now = ck_now();
     struct en_group *g = in->group;
-    if (in->gone || now - in->suspected < SUSPECT_US || in->at != g->cfg.primary)
+    if (in->removed || now - in->suspected_at < SUSPECT_US || in->index != g->cfg.primary)
         return;
-    in->suspected = now;
+    in->suspected_at = now;
     tl_add(n->tl, TL_SUSPECT, g->cfg.name, g->cfg.term, "%s %s", in->cfg.id,
            health == WR_REFUSED ? "refuses" : "does not answer");
     en_send_suspicion(n, in->cfg.id, health);
@@ -506,7 +508,7 @@
     l->net = NULL;
     l->open = false;
     if (leader(l->node) == l)
-        l->node->next_renew = 0; /* ask another at once */
+        l->node->next_renew_at = 0; /* ask another at once */
     rd_closed(&l->line, ck_now());
 }
 
@@ -518,7 +520,7 @@
 {
     n->leader = -1;
     n->nodes_hash = NL_EMPTY;
-    n->next_renew = ck_now();
+    n->next_renew_at = ck_now();
     en_links_update_seeds(n);
 }
 
--- a/entry/observer.c
+++ b/entry/observer.c
@@ -54,7 +54,7 @@
     uint64_t hash;
     uint32_t k = reachable(n, nodes, &hash);
     struct wr_msg m = {.type = WR_CONTROLS, .nodes = {k, nodes}};
-    for (struct en_subscriber *c = n->askers; k > 0 && c; c = c->next) {
+    for (struct en_subscriber *c = n->subscribers; k > 0 && c; c = c->next) {
         if (!c->greeted || c->told == hash)
             continue;
         c->told = hash;
@@ -110,14 +110,14 @@
 
 static void on_close(struct nt_conn *net, void *ud, bool opened, bool refused)
 {
-    struct en_subscriber *c = ud, **at = &c->node->askers;
+    struct en_subscriber *c = ud, **at = &c->node->subscribers;
     (void)net;
     (void)opened;
     (void)refused;
     while (*at != c)
         at = &(*at)->next;
     *at = c->next;
-    c->node->n_askers--;
+    c->node->n_subscribers--;
     free(c);
 }
 
@@ -126,14 +126,14 @@
 static void *accept_conn(struct nt_conn *net, void *ud)
 {
     struct en_node *n = ud;
-    if (n->n_askers >= MAX_ASKERS)
+    if (n->n_subscribers >= MAX_ASKERS)
         return NULL;
     struct en_subscriber *c = sr_alloc(sizeof(*c));
     c->node = n;
     c->net = net;
-    c->next = n->askers;
-    n->askers = c;
-    n->n_askers++;
+    c->next = n->subscribers;
+    n->subscribers = c;
+    n->n_subscribers++;
     return c;
 }
 
--- a/entry/ops.c
+++ b/entry/ops.c
@@ -66,7 +66,7 @@
         {"bad_tokens", c->bad_tokens},
         {"lease_lost", c->lease_lost},
         {"views", c->views},
-        {"renewed_instances", c->renewed},
+        {"renewed_instances", c->renewed_instances},
         {"view_snapshots", c->snapshots},
     };
     for (size_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++)
@@ -116,7 +116,7 @@
                           "ferry_instance_queued{instance=\"%s\"} %d\n"
                           "ferry_instance_lag_us{instance=\"%s\"} %lld\n",
                           in->cfg.id, in->n_conns, in->cfg.id, in->share, in->cfg.id,
-                          in->q.limit, in->cfg.id, in->q.queued, in->cfg.id,
+                          in->queue.limit, in->cfg.id, in->queue.queued, in->cfg.id,
                           (long long)n->groups[g]->rt.inst[i].lag_us);
         }
     }
@@ -194,7 +194,7 @@
 void en_handle_http(const struct nt_http *req)
 {
     struct en_node *n = req->ud;
-    if (n->outside && n->outside->http(n, req))
+    if (n->interface && n->interface->http(n, req))
         return;
     if (strcmp(req->path, "/healthz") == 0) {
         reply_json(req, 200, json_pack("{s:b}", "alive", 1));
--- a/entry/pool.c
+++ b/entry/pool.c
@@ -25,21 +25,21 @@
 {
     in->node = n;
     in->group = g;
-    in->at = at;
+    in->index = at;
     in->cfg = *cfg;
     struct ad_config ac = {n->s->queue, CK_MS(n->s->target_ms), n->s->first_come};
-    ad_init(&in->q, &ac, rn_next(&n->rng));
+    ad_init(&in->queue, &ac, rn_next(&n->rng));
 }
 
 /* It was asked and has not answered in so long, as far as answers were read. */
 static bool unanswered(const struct en_inst *in, int64_t us)
 {
-    return in->status_sent && nt_heard_until(in->node->loop) - in->status_sent >= us;
+    return in->status_sent_at && nt_heard_until(in->node->loop) - in->status_sent_at >= us;
 }
 
 bool en_inst_usable(const struct en_inst *in)
 {
-    if (!in->watch || !in->watch->open)
+    if (!in->status_ep || !in->status_ep->open)
         return false;
     return !unanswered(in, SILENT_US);
 }
@@ -49,36 +49,36 @@
 static void note_positions(struct en_inst *in, const struct ep_reply *r, int64_t now)
 {
     struct en_group *g = in->group;
-    in->heard = now;
-    in->held = r->held;
-    in->applied = r->applied;
-    in->following = r->following;
-    rt_record_applied(&g->rt, in->at, r->applied, now);
+    in->last_received = now;
+    in->held_pos = r->held;
+    in->applied_pos = r->applied;
+    in->followed_term = r->following;
+    rt_record_applied(&g->rt, in->index, r->applied, now);
     en_held_pos_changed(g);
 }
 
 static void on_status(struct en_ep *ep, const struct ep_reply *r, int64_t now)
 {
     struct en_inst *in = ep->inst;
-    ep->status_id = 0;
-    in->status_sent = 0;
-    if (in->gone)
+    ep->status_req_id = 0;
+    in->status_sent_at = 0;
+    if (in->removed)
         return;
     struct en_group *g = in->group;
-    if (r->primary && in->at == g->cfg.primary && r->term == g->serve_term)
-        rt_record_primary_pos(&g->rt, ep->status_at, r->held);
+    if (r->primary && in->index == g->cfg.primary && r->term == g->serve_term)
+        rt_record_primary_pos(&g->rt, ep->status_sent_at, r->held);
     note_positions(in, r, now);
-    if (g->n_parked && in->at == g->cfg.primary)
+    if (g->n_parked && in->index == g->cfg.primary)
         en_unpark(g); /* it answers again */
 }
 
 static void send_status(struct en_ep *ep, enum ep_op op, int64_t now)
 {
     struct ep_request q = {.op = op, .id = ++ep->last_id};
-    ep->status_id = q.id;
-    ep->status_at = now;
-    ep->inst->status_sent = now;
-    ep->inst->node->driver->send(ep->c, &q);
+    ep->status_req_id = q.id;
+    ep->status_sent_at = now;
+    ep->inst->status_sent_at = now;
+    ep->inst->node->driver->send(ep->conn, &q);
 }
 
 static void count_open(struct en_inst *in)
@@ -86,17 +86,17 @@
     int open = 0;
     for (struct en_ep *e = in->eps; e; e = e->next)
         open += e->open && !e->closing;
-    ad_set_max(&in->q, open);
+    ad_set_max(&in->queue, open);
 }
 
 /* Some open connection must carry pushes and status polls, or the instance counts as gone. */
 static void choose_watch(struct en_inst *in)
 {
-    for (struct en_ep *e = in->eps; e && !in->watch; e = e->next) {
+    for (struct en_ep *e = in->eps; e && !in->status_ep; e = e->next) {
         if (!e->open || e->closing)
             continue;
-        in->watch = e;
-        e->watching = true;
+        in->status_ep = e;
+        e->is_status_ep = true;
         send_status(e, EP_SUBSCRIBE, ck_now());
     }
 }
@@ -108,10 +108,10 @@
     (void)c;
     ep->open = true;
     in->refusing = false;
-    in->heard = ck_now();
+    in->last_received = ck_now();
     choose_watch(in);
     count_open(in);
-    if (!in->gone)
+    if (!in->removed)
         en_unpark(in->group);
     en_inst_dispatch(in);
 }
@@ -120,7 +120,7 @@
 {
     struct en_ep *ep = ud;
     (void)c;
-    if (!ep->inst->gone)
+    if (!ep->inst->removed)
         note_positions(ep->inst, r, ck_now());
 }
 
@@ -130,7 +130,7 @@
     struct en_inst *in = ep->inst;
     int64_t now = ck_now();
     (void)c;
-    if (ep->status_id && r->id == ep->status_id) {
+    if (ep->status_req_id && r->id == ep->status_req_id) {
         on_status(ep, r, now);
         return;
     }
@@ -139,7 +139,7 @@
         in->node->c.late_replies++;
         return;
     }
-    in->heard = now;
+    in->last_received = now;
     ep->req_id = 0;
     if (ep->rolling_back) {
         ep->rolling_back = false;
@@ -147,12 +147,12 @@
         return;
     }
     if (!ep->txn)
-        ad_done(&in->q, now - ep->sent_at, now);
+        ad_done(&in->queue, now - ep->sent_at, now);
     struct en_req *req = ep->req;
     ep->req = NULL;
-    if (ep->orphan) {
+    if (ep->discard_reply) {
         in->node->c.late_replies++;
-        ep->orphan = false;
+        ep->discard_reply = false;
         if (ep->op == EP_BEGIN)
             en_ep_close(ep); /* nobody owns the transaction it opened */
     }
@@ -180,19 +180,19 @@
     struct en_txn *txn = ep->txn;
     bool counted = ep->req_id != 0 && !txn && !ep->rolling_back;
     (void)c;
-    ep->c = NULL;
+    ep->conn = NULL;
     unlink_ep(ep);
     in->n_conns--;
-    if (in->watch == ep) {
-        in->watch = NULL;
-        in->status_sent = 0;
+    if (in->status_ep == ep) {
+        in->status_ep = NULL;
+        in->status_sent_at = 0;
     }
     if (opened && counted)
-        ad_dropped(&in->q);
+        ad_dropped(&in->queue);
     count_open(in);
     bool unasked = !ep->closing;
     free(ep);
-    if (in->gone) {
+    if (in->removed) {
         if (req)
             en_connection_lost(req);
         if (txn)
@@ -204,7 +204,7 @@
     in->refusing = refused;
     choose_watch(in);
     if (unasked) {
-        in->next_open = ck_now() + (opened ? 0 : REOPEN_US);
+        in->next_open_at = ck_now() + (opened ? 0 : REOPEN_US);
         en_report_inst(in, refused ? WR_REFUSED : WR_SILENT);
     }
     if (txn)
@@ -228,7 +228,7 @@
     in->eps = ep;
     in->n_conns++;
     struct ep_target to = {in->cfg.ip, in->cfg.port, in->group->cfg.name, in->cfg.id};
-    ep->c = in->node->driver->open(in->node->loop, &to, who, &events, ep);
+    ep->conn = in->node->driver->open(in->node->loop, &to, who, &events, ep);
 }
 
 void en_ep_close(struct en_ep *ep)
@@ -236,7 +236,7 @@
     if (ep->closing)
         return;
     ep->closing = true;
-    ep->inst->node->driver->close(ep->c);
+    ep->inst->node->driver->close(ep->conn);
 }
 
 static int n_opening(const struct en_inst *in)
@@ -260,7 +260,7 @@
 /* Whether something still waits for positions that come over the watching connections. */
 static bool watch_needed(const struct en_inst *in)
 {
-    return in->share > 0 || in->group->holding || en_writes_in_flight(in->group) > 0;
+    return in->share > 0 || in->group->awaiting_copies || en_writes_in_flight(in->group) > 0;
 }
 
 /* Close an idle connection when there are more than the share. */
@@ -273,7 +273,7 @@
             continue;
         }
         bool idle = !e->req_id && !e->txn && !e->req;
-        if (idle && (!e->watching || !watch_needed(in))) {
+        if (idle && (!e->is_status_ep || !watch_needed(in))) {
             en_ep_close(e);
             over--;
         }
@@ -282,7 +282,7 @@
 
 static int wanted(const struct en_inst *in)
 {
-    int n = in->q.queued + in->q.in_flight;
+    int n = in->queue.queued + in->queue.in_flight;
     if (n > in->cfg.max_conns)
         n = in->cfg.max_conns;
     return n < 1 ? 1 : n;
@@ -292,19 +292,19 @@
 static void note_want(struct en_inst *in)
 {
     int want = wanted(in);
-    if (want > in->peak_want)
-        in->peak_want = want;
+    if (want > in->peak_demand)
+        in->peak_demand = want;
 }
 
 /* A connection that owes a reply for far too long is closed: what it owes will not come. */
 static void close_stuck(struct en_inst *in)
 {
-    struct en_ep *w = in->watch;
+    struct en_ep *w = in->status_ep;
     int64_t heard = nt_heard_until(in->node->loop);
     if (w && unanswered(in, STATUS_LOST_US))
         en_ep_close(w);
     for (struct en_ep *e = in->eps; e; e = e->next) {
-        if (e->orphan && heard - e->sent_at > ORPHAN_US)
+        if (e->discard_reply && heard - e->sent_at > ORPHAN_US)
             en_ep_close(e);
     }
 }
@@ -313,16 +313,16 @@
 static int64_t poll_every(const struct en_inst *in, int64_t now)
 {
     const struct en_group *g = in->group;
-    if (g->holding && !in->node->s->pushes)
+    if (g->awaiting_copies && !in->node->s->pushes)
         return 0; /* writes wait for what this instance holds: ask again and again */
-    if (now - g->used > IDLE_AFTER_US)
+    if (now - g->last_request_at > IDLE_AFTER_US)
         return STATUS_IDLE_US;
-    return in->at == g->cfg.primary ? STATUS_US : STATUS_REPLICA_US;
+    return in->index == g->cfg.primary ? STATUS_US : STATUS_REPLICA_US;
 }
 
 bool en_inst_idle(const struct en_inst *in)
 {
-    return !in->group->held && in->n_conns == 0 && in->q.queued == 0;
+    return !in->group->held && in->n_conns == 0 && in->queue.queued == 0;
 }
 
 void en_pool_tick(struct en_inst *in, int64_t now)
@@ -330,13 +330,13 @@
     note_want(in);
     shrink(in);
     close_stuck(in);
-    if (in->n_conns == 0 && in->share > 0 && in->group->held && now >= in->next_open)
+    if (in->n_conns == 0 && in->share > 0 && in->group->held && now >= in->next_open_at)
         open_one(in);
-    struct en_ep *w = in->watch;
+    struct en_ep *w = in->status_ep;
     if (!w || !w->open)
         return;
     int64_t every = poll_every(in, now);
-    if (!w->status_id && now - w->status_at >= every)
+    if (!w->status_req_id && now - w->status_sent_at >= every)
         send_status(w, EP_STATUS, now);
     if (unanswered(in, SILENT_US))
         en_report_inst(in, WR_SILENT);
@@ -345,7 +345,7 @@
 void en_ep_release(struct en_ep *ep)
 {
     struct en_inst *in = ep->inst;
-    if (in->gone || (in->n_conns > in->share && !ep->watching)) {
+    if (in->removed || (in->n_conns > in->share && !ep->is_status_ep)) {
         en_ep_close(ep);
         return;
     }
@@ -360,13 +360,13 @@
     ep->req = r;
     ep->req_id = q->id;
     ep->op = q->op;
-    ep->orphan = false;
+    ep->discard_reply = false;
     ep->sent_at = ck_now();
     if (r) {
         r->ep = ep;
         r->state = EN_SENT;
     }
-    if (ep->inst->node->driver->send(ep->c, q))
+    if (ep->inst->node->driver->send(ep->conn, q))
         return true;
     ep->req = NULL;
     ep->req_id = 0;
@@ -378,16 +378,16 @@
 static void fill(const struct en_req *r, struct ep_request *q, char *claim, size_t cap)
 {
     static const enum ep_op ops[] = {EP_READ, EP_WRITE, EP_BEGIN, EP_COMMIT, EP_ROLLBACK};
-    q->op = ops[r->r.kind];
-    q->stmt = sr_from(r->r.stmt);
+    q->op = ops[r->req.kind];
+    q->stmt = sr_from(r->req.stmt);
     q->term = r->term;
     const struct st_settings *s = r->caller->node->s;
     if (s->minpos) {
-        q->min = r->min;
+        q->min = r->min_pos;
         q->wait_us = r->wait_us;
     }
-    if (r->r.kind == CL_WRITE && !r->r.repeat_safe && s->claims && !s->off_once) {
-        snprintf(claim, cap, "%s:%s", r->r.account, r->r.id);
+    if (r->req.kind == CL_WRITE && !r->req.repeat_safe && s->claims && !s->off_once) {
+        snprintf(claim, cap, "%s:%s", r->req.account, r->req.id);
         q->claim = sr_from(claim);
     }
 }
@@ -401,8 +401,8 @@
     if (en_ep_send(ep, r, &q))
         return;
     /* Nothing left this process: it may go elsewhere. */
-    ad_dropped(&in->q);
-    r->tried |= 1u << in->at;
+    ad_dropped(&in->queue);
+    r->tried_mask |= 1u << in->index;
     en_defer(r, ER_NONE, 0);
 }
 
@@ -412,7 +412,7 @@
     const struct en_group *g = in->group;
     if (!r->at_primary)
         return true;
-    return g->cfg.phase == VW_SERVING && g->cfg.primary == in->at && en_leased(in->node);
+    return g->cfg.phase == VW_SERVING && g->cfg.primary == in->index && en_leased(in->node);
 }
 
 void en_inst_dispatch(struct en_inst *in)
@@ -420,20 +420,20 @@
     int64_t now = ck_now(), retry;
     struct ad_item *it;
     note_want(in);
-    while ((it = ad_hopeless(&in->q, now, &retry)))
+    while ((it = ad_hopeless(&in->queue, now, &retry)))
         en_defer((struct en_req *)it, ER_OVERLOAD, retry);
     struct en_ep *ep;
-    while (in->q.queued > 0 && (ep = idle_ep(in)) && (it = ad_next(&in->q, now))) {
+    while (in->queue.queued > 0 && (ep = idle_ep(in)) && (it = ad_next(&in->queue, now))) {
         struct en_req *r = (struct en_req *)it;
         if (!still_right(in, r)) {
-            ad_dropped(&in->q);
+            ad_dropped(&in->queue);
             en_defer(r, ER_NONE, 0);
             continue;
         }
         start(in, ep, r);
     }
-    bool room = in->n_conns < in->share && in->group->held && n_opening(in) < in->q.queued;
-    if (in->q.queued > 0 && room && now >= in->next_open)
+    bool room = in->n_conns < in->share && in->group->held && n_opening(in) < in->queue.queued;
+    if (in->queue.queued > 0 && room && now >= in->next_open_at)
         open_one(in);
 }
 
@@ -441,7 +441,7 @@
 {
     struct ad_item *it;
     in->share = 0; /* the pool closes what is idle */
-    while ((it = ad_pop_any(&in->q)))
+    while ((it = ad_pop_any(&in->queue)))
         en_defer((struct en_req *)it, ER_NONE, 0);
 }
 
@@ -449,8 +449,8 @@
 void en_inst_remove(struct en_inst *in)
 {
     struct ad_item *it;
-    in->gone = true;
-    while ((it = ad_pop_any(&in->q)))
+    in->removed = true;
+    while ((it = ad_pop_any(&in->queue)))
         en_defer((struct en_req *)it, ER_NONE, 0);
     if (in->n_conns == 0) {
         free(in);
--- a/entry/replies.c
+++ b/entry/replies.c
@@ -17,16 +17,16 @@
         }
         if (g->cfg.inst[i].draining)
             continue; /* it may be removed any moment */
-        n += ps_covers(g->inst[i]->held, pos, g->cfg.starts, g->cfg.n_starts);
+        n += ps_covers(g->inst[i]->held_pos, pos, g->cfg.starts, g->cfg.n_starts);
     }
     return n;
 }
 
 static void first_write(struct en_group *g, const struct en_req *r)
 {
-    if (g->first_write == r->term || r->r.kind == CL_READ)
+    if (g->first_write_term == r->term || r->req.kind == CL_READ)
         return;
-    g->first_write = r->term;
+    g->first_write_term = r->term;
     tl_add(g->node->tl, TL_FIRST_WRITE, g->cfg.name, r->term, "first acknowledged write");
 }
 
@@ -52,8 +52,8 @@
         return;
     }
     r->state = EN_AWAIT_COPIES;
-    r->chain = g->holding;
-    g->holding = r;
+    r->next_waiting = g->awaiting_copies;
+    g->awaiting_copies = r;
 }
 
 void en_commit_done(struct en_req *r)
@@ -63,9 +63,9 @@
 
 void en_held_pos_changed(struct en_group *g)
 {
-    struct en_req *r = g->holding;
+    struct en_req *r = g->awaiting_copies;
     while (r) {
-        struct en_req *next = r->chain;
+        struct en_req *next = r->next_waiting;
         if (holders(g, r->pos) >= g->cfg.copies)
             acknowledge(r);
         r = next;
@@ -100,23 +100,23 @@
 static bool came_too_early(const struct en_req *r, const struct ep_reply *rep)
 {
     const struct vw_group *g = &r->group->cfg;
-    if (r->r.kind != CL_READ || r->at_primary || !r->min.pos)
+    if (r->req.kind != CL_READ || r->at_primary || !r->min_pos.pos)
         return false;
-    return !ps_covers(rep->pos, r->min, g->starts, g->n_starts);
+    return !ps_covers(rep->pos, r->min_pos, g->starts, g->n_starts);
 }
 
 void en_handle_reply(struct en_req *r, struct en_ep *ep, const struct ep_reply *rep)
 {
     struct en_inst *in = ep->inst;
     r->ep = NULL;
-    if (r->txn || r->r.kind == CL_BEGIN) {
+    if (r->txn || r->req.kind == CL_BEGIN) {
         en_txn_reply(r, ep, rep);
         return;
     }
     switch (rep->result) {
     case EP_BEHIND:
         in->node->c.reads_behind++;
-        r->tried |= 1u << in->at;
+        r->tried_mask |= 1u << in->index;
         en_route(r);
         return;
     case EP_REFUSED:
@@ -133,13 +133,13 @@
     }
     if (came_too_early(r, rep)) {
         in->node->c.reads_behind++;
-        r->tried |= 1u << in->at;
+        r->tried_mask |= 1u << in->index;
         en_route(r);
         return;
     }
     sr_buf_add(&r->value, rep->value.p, rep->value.len);
     r->duplicate = rep->duplicate;
-    if (r->r.kind == CL_READ) {
+    if (r->req.kind == CL_READ) {
         read_done(r, in, rep);
         return;
     }
@@ -151,7 +151,7 @@
 static bool may_retry(struct en_req *r)
 {
     struct en_node *n = r->caller->node;
-    bool safe = r->r.kind == CL_READ || r->r.kind == CL_BEGIN || r->r.repeat_safe;
+    bool safe = r->req.kind == CL_READ || r->req.kind == CL_BEGIN || r->req.repeat_safe;
     if (!safe && !n->s->off_once)
         return false;
     if (n->retry_budget < 1) {
@@ -168,15 +168,15 @@
     r->ep = NULL;
     r->state = EN_NEW;
     if (r->txn) {
-        bool commit = r->r.kind == CL_COMMIT;
+        bool commit = r->req.kind == CL_COMMIT;
         en_fail(r, commit ? ER_LOST : ER_BAD_TXN, 0,
                 commit ? "the connection was lost at commit"
                        : "the transaction was lost with its connection and rolled back");
         return;
     }
     if (may_retry(r)) {
-        r->may_have_run |= r->r.kind == CL_WRITE;
-        r->tried |= r->r.kind == CL_READ && r->inst ? 1u << r->inst->at : 0;
+        r->may_have_run |= r->req.kind == CL_WRITE;
+        r->tried_mask |= r->req.kind == CL_READ && r->inst ? 1u << r->inst->index : 0;
         en_route(r);
         return;
     }
--- a/entry/request.c
+++ b/entry/request.c
@@ -30,9 +30,9 @@
 static void unchain(struct en_req **at, struct en_req *r)
 {
     while (*at && *at != r)
-        at = &(*at)->chain;
+        at = &(*at)->next_waiting;
     if (*at)
-        *at = r->chain;
+        *at = r->next_waiting;
 }
 
 /* Take the request out of whatever list it waits in. */
@@ -43,18 +43,18 @@
         unchain(&g->parked, r);
         g->parked_tail = &g->parked;
         while (*g->parked_tail)
-            g->parked_tail = &(*g->parked_tail)->chain;
+            g->parked_tail = &(*g->parked_tail)->next_waiting;
         g->n_parked--;
     } else if (r->state == EN_AWAIT_COPIES) {
-        unchain(&g->holding, r);
+        unchain(&g->awaiting_copies, r);
     } else if (r->state == EN_SENT && r->ep && r->ep->req == r) {
         r->ep->req = NULL;
-        r->ep->orphan = true; /* its reply is late now */
+        r->ep->discard_reply = true; /* its reply is late now */
         if (r->txn)
             en_ep_close(r->ep); /* nobody can say how far the transaction is */
     } else if (r->state == EN_QUEUED) {
-        ad_remove(&r->inst->q, &r->item);
-    } else if (r->state == EN_FORWARDED && r->up) {
+        ad_remove(&r->inst->queue, &r->item);
+    } else if (r->state == EN_FORWARDED && r->upstream) {
         en_upstream_forget(r);
     }
     r->ep = NULL;
@@ -74,7 +74,7 @@
     n->retry_budget += n->s->retry_permille / 1000.0;
     if (n->retry_budget > RETRY_BUDGET_MAX)
         n->retry_budget = RETRY_BUDGET_MAX;
-    hi_add(r->r.kind == CL_READ ? &n->lat_read : &n->lat_write, ck_now() - r->arrived);
+    hi_add(r->req.kind == CL_READ ? &n->lat_read : &n->lat_write, ck_now() - r->arrived_at);
 }
 
 static void send_text(struct en_caller *c, const struct sr_buf *b, enum er_kind kind)
@@ -96,7 +96,7 @@
     unlink_req(r);
     if (r->txn && r->txn->busy)
         r->txn->busy = false;
-    cl_request_free(&r->r);
+    cl_request_free(&r->req);
     sr_buf_free(&r->value);
     free(r);
     c->outstanding--;
@@ -107,8 +107,8 @@
 {
     struct sr_buf b = {0};
     struct cl_answer tagged = *a;
-    tagged.tag = r->r.tag;
-    cl_write(&b, r->r.id, &tagged);
+    tagged.tag = r->req.tag;
+    cl_write(&b, r->req.id, &tagged);
     finish(r, &b, a->kind);
     sr_buf_free(&b);
 }
@@ -117,8 +117,8 @@
 {
     struct sr_buf b = {0};
     sr_buf_add(&b, text, len);
-    if (r->r.tag)
-        sr_buf_printf(&b, ",\"tag\":%llu", (unsigned long long)r->r.tag);
+    if (r->req.tag)
+        sr_buf_printf(&b, ",\"tag\":%llu", (unsigned long long)r->req.tag);
     sr_buf_add(&b, "}", 1);
     finish(r, &b, kind);
     sr_buf_free(&b);
@@ -148,7 +148,7 @@
         ss_token_make(&n->key, sr_from(g->cfg.name), seen, token);
     struct cl_answer a = {.value = {r->value.p ? r->value.p : "", r->value.len},
                           .token = token,
-                          .txn = r->txn && r->r.kind == CL_BEGIN ? r->txn->name : NULL,
+                          .txn = r->txn && r->req.kind == CL_BEGIN ? r->txn->name : NULL,
                           .served_by = r->inst ? r->inst->cfg.id : NULL,
                           .replica = !r->at_primary,
                           .duplicate = r->duplicate,
@@ -178,9 +178,9 @@
         next = r->next;
         if (r->group != g || !r->at_primary)
             continue;
-        if (r->state == EN_SENT && r->r.kind == CL_READ && !r->txn) {
+        if (r->state == EN_SENT && r->req.kind == CL_READ && !r->txn) {
             r->ep->req = NULL;
-            r->ep->orphan = true;
+            r->ep->discard_reply = true;
             r->ep = NULL;
             en_defer(r, ER_NONE, 0); /* it changed nothing: ask the next primary */
         } else if (r->state == EN_SENT || r->state == EN_AWAIT_COPIES) {
@@ -199,7 +199,7 @@
 static enum er_kind past_deadline(const struct en_req *r)
 {
     if (away(r))
-        return r->r.kind == CL_BEGIN ? ER_DEADLINE : ER_LOST;
+        return r->req.kind == CL_BEGIN ? ER_DEADLINE : ER_LOST;
     return r->state == EN_PARKED ? ER_NO_PRIMARY : ER_DEADLINE;
 }
 
@@ -212,7 +212,7 @@
 
 static bool stuck_read(const struct en_req *r, int64_t heard)
 {
-    if (r->state != EN_SENT || r->r.kind != CL_READ || r->txn || r->at_primary || !r->inst)
+    if (r->state != EN_SENT || r->req.kind != CL_READ || r->txn || r->at_primary || !r->inst)
         return false;
     return !en_inst_usable(r->inst) && heard - r->ep->sent_at > READ_SILENT_US;
 }
@@ -231,7 +231,7 @@
             en_fail(r, en_leased(n) ? ER_NO_PRIMARY : ER_NO_LEASE, en_jitter(n, 200), NULL);
         } else if (stuck_read(r, heard)) {
             struct en_ep *ep = r->ep;
-            r->tried |= 1u << r->inst->at;
+            r->tried_mask |= 1u << r->inst->index;
             ep->req = NULL;
             en_ep_close(ep);
             en_defer(r, ER_NONE, 0);
@@ -262,8 +262,8 @@
 static void admit_request(struct en_req *r)
 {
     struct en_node *n = r->caller->node;
-    r->group = en_group(n, r->r.db);
-    if (n->stopping && !r->r.txn[0]) {
+    r->group = en_group(n, r->req.db);
+    if (n->stopping && !r->req.txn[0]) {
         en_fail(r, ER_STOPPING, 1, "this node is stopping: use another");
         return;
     }
@@ -275,20 +275,21 @@
         en_fail(r, ER_NO_DATABASE, 0, "no such database");
         return;
     }
-    r->group->used = r->arrived;
-    if (id_expired(n, &r->r)) {
+    r->group->last_request_at = r->arrived_at;
+    if (id_expired(n, &r->req)) {
         en_fail(r, ER_ID_EXPIRED, 0, "issued_ms is older than the resend window");
         return;
     }
-    if (cannot_resend(n, &r->r)) {
+    if (cannot_resend(n, &r->req)) {
         en_fail(r, ER_LOST, 0, "the database remembers no request ids: look before you resend");
         return;
     }
-    if (r->r.token[0]) {
-        r->has_token = ss_token_read(&n->key, sr_from(r->r.db), sr_from(r->r.token), &r->token);
+    if (r->req.token[0]) {
+        r->has_token =
+            ss_token_read(&n->key, sr_from(r->req.db), sr_from(r->req.token), &r->token);
         n->c.bad_tokens += !r->has_token;
     }
-    if (r->r.txn[0] && r->group->held)
+    if (r->req.txn[0] && r->group->held)
         en_txn_request(r);
     else
         en_route(r);
@@ -300,7 +301,7 @@
     struct er_err err = {0};
     struct en_req *r = sr_alloc(sizeof(*r));
     r->caller = c;
-    r->arrived = ck_now();
+    r->arrived_at = ck_now();
     r->next = n->reqs;
     if (r->next)
         r->next->prev = r;
@@ -308,11 +309,11 @@
     n->n_reqs++;
     n->c.requests++;
     c->outstanding++;
-    if (!cl_parse(text, len, &r->r, &err)) {
+    if (!cl_parse(text, len, &r->req, &err)) {
         en_fail(r, err.kind, 0, err.text);
         return;
     }
-    r->deadline = r->arrived + CK_MS(r->r.deadline_ms);
+    r->deadline = r->arrived_at + CK_MS(r->req.deadline_ms);
     if (n->n_reqs > n->s->max_outstanding) {
         en_fail(r, ER_OVERLOAD, en_jitter(n, 100), "too many requests are held");
         return;
--- a/entry/routing.c
+++ b/entry/routing.c
@@ -31,13 +31,13 @@
         tl_add(n->tl, TL_PARKED, g->cfg.name, g->cfg.term, "requests wait for a primary");
     n->c.parked++;
     r->state = EN_PARKED;
-    r->tried = 0;
+    r->tried_mask = 0;
     r->attempts = 0;
     if (!r->parked_at)
         r->parked_at = ck_now();
-    r->chain = NULL;
+    r->next_waiting = NULL;
     *g->parked_tail = r;
-    g->parked_tail = &r->chain;
+    g->parked_tail = &r->next_waiting;
     g->n_parked++;
 }
 
@@ -48,9 +48,9 @@
     g->parked_tail = &g->parked;
     g->n_parked = 0;
     while (r) {
-        struct en_req *next = r->chain;
+        struct en_req *next = r->next_waiting;
         r->state = EN_NEW;
-        r->chain = NULL;
+        r->next_waiting = NULL;
         en_route(r);
         r = next;
     }
@@ -59,16 +59,16 @@
 static void run_later(void *ud)
 {
     struct en_node *n = ud;
-    struct en_req *r = n->later;
-    n->later = NULL;
+    struct en_req *r = n->deferred;
+    n->deferred = NULL;
     while (r) {
-        struct en_req *next = r->chain;
+        struct en_req *next = r->next_waiting;
         r->state = EN_NEW;
-        r->chain = NULL;
-        if (r->later_kind == ER_NONE)
+        r->next_waiting = NULL;
+        if (r->deferred_kind == ER_NONE)
             en_route(r);
         else
-            en_fail(r, r->later_kind, r->later_retry, NULL);
+            en_fail(r, r->deferred_kind, r->deferred_retry_ms, NULL);
         r = next;
     }
 }
@@ -77,11 +77,11 @@
 {
     struct en_node *n = r->caller->node;
     r->state = EN_DEFERRED;
-    r->later_kind = kind;
-    r->later_retry = retry_ms;
-    r->chain = n->later;
-    n->later = r;
-    nt_timer_set(n->loop, &n->later_timer, 1, run_later, n);
+    r->deferred_kind = kind;
+    r->deferred_retry_ms = retry_ms;
+    r->next_waiting = n->deferred;
+    n->deferred = r;
+    nt_timer_set(n->loop, &n->deferred_timer, 1, run_later, n);
 }
 
 /* ---- routing ---- */
@@ -92,7 +92,7 @@
 {
     const struct en_group *g = in->group;
     bool checks = in->node->s->minpos;
-    return checks || in->at == g->cfg.primary || in->following == g->serve_term;
+    return checks || in->index == g->cfg.primary || in->followed_term == g->serve_term;
 }
 
 static void refresh_route(struct en_group *g)
@@ -105,34 +105,34 @@
         bool leaving = g->cfg.phase != VW_SERVING && i == g->cfg.primary;
         rt->inst[i].usable = en_inst_usable(in) && !leaving && follows(in);
         rt->inst[i].draining = g->cfg.inst[i].draining;
-        rt->inst[i].in_flight = in->q.in_flight + in->q.queued;
-        rt->inst[i].limit = in->q.limit >= 1 ? (int)in->q.limit : 1;
+        rt->inst[i].in_flight = in->queue.in_flight + in->queue.queued;
+        rt->inst[i].limit = in->queue.limit >= 1 ? (int)in->queue.limit : 1;
     }
 }
 
 static enum ad_class class_of(const struct en_req *r)
 {
-    if (r->r.kind != CL_READ)
+    if (r->req.kind != CL_READ)
         return AD_WRITE;
-    return r->r.age_ms >= 0 ? AD_AGED : AD_SESSION;
+    return r->req.age_ms >= 0 ? AD_AGED : AD_SESSION;
 }
 
 static void enqueue(struct en_req *r, struct en_inst *in)
 {
     int64_t retry = 0, now = ck_now();
     r->inst = in;
-    r->at_primary = in->at == in->group->cfg.primary;
+    r->at_primary = in->index == in->group->cfg.primary;
     r->item.cls = class_of(r);
-    r->item.account = XXH64(r->r.account, strlen(r->r.account), 0);
+    r->item.account = XXH64(r->req.account, strlen(r->req.account), 0);
     r->item.deadline = r->deadline;
-    r->item.first = r->r.priority > 0;
-    if (ad_offer(&in->q, &r->item, now, &retry)) {
+    r->item.first = r->req.priority > 0;
+    if (ad_offer(&in->queue, &r->item, now, &retry)) {
         r->state = EN_QUEUED;
         en_inst_dispatch(in);
         return;
     }
-    r->tried |= 1u << in->at;
-    if (r->r.kind == CL_READ && !r->at_primary) {
+    r->tried_mask |= 1u << in->index;
+    if (r->req.kind == CL_READ && !r->at_primary) {
         en_route(r); /* another replica may have room */
         return;
     }
@@ -156,7 +156,7 @@
         en_park(r);
         return;
     }
-    r->min = (struct ps_pos){0};
+    r->min_pos = (struct ps_pos){0};
     r->wait_us = 0;
     enqueue(r, in);
 }
@@ -166,7 +166,7 @@
     struct en_group *g = r->group;
     struct en_node *n = g->node;
     int64_t now = ck_now();
-    int64_t age = r->r.age_ms;
+    int64_t age = r->req.age_ms;
     if (age > g->cfg.max_age_ms)
         age = g->cfg.max_age_ms;
     struct rt_query q = {.has_token = r->has_token,
@@ -180,12 +180,12 @@
         to_primary(r);
         return;
     }
-    struct rt_choice c = rt_choose_for_read(&g->rt, &q, r->tried, now);
+    struct rt_choice c = rt_choose_for_read(&g->rt, &q, r->tried_mask, now);
     if (c.inst < 0 || c.primary) {
         to_primary(r);
         return;
     }
-    r->min = c.min;
+    r->min_pos = c.min;
     r->wait_us = c.wait_us;
     n->c.waited += c.wait_us > 0;
     enqueue(r, g->inst[c.inst]);
@@ -195,13 +195,13 @@
 {
     r->state = EN_NEW;
     r->ep = NULL;
-    if (++r->attempts > MAX_ATTEMPTS && r->r.kind == CL_READ) {
+    if (++r->attempts > MAX_ATTEMPTS && r->req.kind == CL_READ) {
         en_fail(r, ER_ENDPOINT, en_jitter(r->caller->node, 50), "no instance could serve it");
         return;
     }
     if (!r->group->held)
         en_forward(r);
-    else if (r->r.kind == CL_READ)
+    else if (r->req.kind == CL_READ)
         route_read(r);
     else
         to_primary(r);
--- a/entry/txn.c
+++ b/entry/txn.c
@@ -82,7 +82,7 @@
     t->group = r->group;
     t->ep = ep;
     t->term = r->term;
-    t->used = ck_now();
+    t->last_used = ck_now();
     t->next = n->txns;
     n->txns = t;
     ep->txn = t;
@@ -94,11 +94,11 @@
 static void send_statement(struct en_req *r, struct en_txn *t)
 {
     char claim[CL_ACCOUNT + CL_ID + 2];
-    struct ep_request q = {.stmt = sr_from(r->r.stmt), .term = t->term, .txn = true};
+    struct ep_request q = {.stmt = sr_from(r->req.stmt), .term = t->term, .txn = true};
     static const enum ep_op ops[] = {EP_READ, EP_WRITE, EP_BEGIN, EP_COMMIT, EP_ROLLBACK};
-    q.op = ops[r->r.kind];
-    if (r->r.kind == CL_COMMIT && !r->r.repeat_safe && r->caller->node->s->claims) {
-        snprintf(claim, sizeof(claim), "%s:%s", r->r.account, r->r.id);
+    q.op = ops[r->req.kind];
+    if (r->req.kind == CL_COMMIT && !r->req.repeat_safe && r->caller->node->s->claims) {
+        snprintf(claim, sizeof(claim), "%s:%s", r->req.account, r->req.id);
         q.claim = sr_from(claim);
     }
     r->term = t->term;
@@ -106,7 +106,7 @@
     r->at_primary = true;
     r->txn = t;
     t->busy = true;
-    t->used = ck_now();
+    t->last_used = ck_now();
     if (!en_ep_send(t->ep, r, &q)) {
         r->state = EN_NEW;
         en_fail(r, ER_BAD_TXN, 0, "the transaction's connection is gone; it is rolled back");
@@ -115,12 +115,12 @@
 
 void en_txn_request(struct en_req *r)
 {
-    struct en_txn *t = find(r->caller, r->r.txn);
+    struct en_txn *t = find(r->caller, r->req.txn);
     if (!t || t->group != r->group) {
         en_fail(r, ER_BAD_TXN, 0, "no such transaction on this connection");
         return;
     }
-    if (r->r.kind == CL_BEGIN) {
+    if (r->req.kind == CL_BEGIN) {
         en_fail(r, ER_BAD_TXN, 0, "a transaction is open already");
         return;
     }
@@ -156,8 +156,8 @@
 static void answer_inside(struct en_req *r)
 {
     struct cl_answer a = {.value = {r->value.p ? r->value.p : "", r->value.len},
-                          .token = r->r.token,
-                          .txn = r->r.kind == CL_BEGIN ? r->txn->name : NULL,
+                          .token = r->req.token,
+                          .txn = r->req.kind == CL_BEGIN ? r->txn->name : NULL,
                           .served_by = r->inst->cfg.id,
                           .durable = true};
     en_answer(r, &a);
@@ -166,7 +166,7 @@
 void en_txn_reply(struct en_req *r, struct en_ep *ep, const struct ep_reply *rep)
 {
     struct en_node *n = r->caller->node;
-    if (r->r.kind == CL_BEGIN && rep->result == EP_REFUSED) {
+    if (r->req.kind == CL_BEGIN && rep->result == EP_REFUSED) {
         r->state = EN_NEW;
         en_route(r);
         return;
@@ -177,7 +177,7 @@
     }
     sr_buf_add(&r->value, rep->value.p, rep->value.len);
     r->state = EN_NEW;
-    switch (r->r.kind) {
+    switch (r->req.kind) {
     case CL_BEGIN:
         if (!r->caller->net) {
             en_ep_close(ep); /* its caller is gone */
@@ -223,7 +223,7 @@
     int64_t heard = nt_heard_until(n->loop);
     for (struct en_txn *t = n->txns; t; t = next) {
         next = t->next;
-        if (!t->busy && heard - t->used > CK_MS(n->s->txn_idle_ms))
+        if (!t->busy && heard - t->last_used > CK_MS(n->s->txn_idle_ms))
             en_txn_end(t, true);
     }
 }
