--- a/entry/entry.c
+++ b/entry/entry.c
@@ -1,3 +1,5 @@
+/* The entry node itself: creation, planned stop, the periodic tick, and applying a changed view
+ * to the groups and instances. */
 #include "entry/entry.h"
 
 #include <stdlib.h>
@@ -8,16 +10,16 @@
 
 enum {
     TICK_US = 5000,
-    DRAIN_US = 1000000,
-    FLUSH_US = 50000,
-    LINGER_US = 1000000,
-    SAMPLES_LAG = -1
+    DRAIN_US = 1000000,  /* for statements in flight to finish before a planned change */
+    FLUSH_US = 50000,    /* for sending the lease release before the exit */
+    LINGER_US = 1000000, /* for callers that do not close on the notice */
+    LAG_UNKNOWN = -1
 };
 
 struct en_group *en_group(struct en_node *n, const char *name)
 {
     int lo = 0, hi = n->n_groups;
-    while (lo < hi) { /* sorted like the view's */
+    while (lo < hi) { /* sorted by name, like the view's groups */
         int mid = (lo + hi) / 2;
         int c = strcmp(n->groups[mid]->cfg.name, name);
         if (c == 0)
@@ -45,7 +47,7 @@
     return ls_live(&n->lease, ck_now()) || n->s->off_terms;
 }
 
-/* ---- bringing groups in line with the view ---- */
+/* ---- applying the view ---- */
 
 static struct en_group *group_new(struct en_node *n)
 {
@@ -57,7 +59,7 @@
     return g;
 }
 
-static struct en_inst *take_inst(struct en_group *g, const char *id)
+static struct en_inst *detach_inst(struct en_group *g, const char *id)
 {
     for (int i = 0; i < VW_MAX_INSTANCES; i++) {
         struct en_inst *in = g->inst[i];
@@ -74,13 +76,13 @@
     struct en_inst *next[VW_MAX_INSTANCES] = {0};
     struct rt_inst rt[RT_MAX_INSTANCES] = {0};
     for (int i = 0; i < v->n; i++) {
-        struct en_inst *in = take_inst(g, v->inst[i].id);
+        struct en_inst *in = detach_inst(g, v->inst[i].id);
         if (in) {
             rt[i] = g->rt.inst[in->index];
         } else {
             in = sr_alloc(sizeof(*in));
             en_inst_init(in, g->node, g, i, &v->inst[i]);
-            rt[i].lag_us = SAMPLES_LAG;
+            rt[i].lag_us = LAG_UNKNOWN;
         }
         in->index = i;
         in->cfg = v->inst[i];
@@ -123,13 +125,13 @@
 
 static void sync_group(struct en_group *g, const struct vw_group *v)
 {
-    bool moved = g->cfg.term != v->term || g->cfg.phase != v->phase;
+    bool serving_changed = g->cfg.term != v->term || g->cfg.phase != v->phase;
     sync_instances(g, v);
     g->idle = false;
     g->cfg = *v;
     g->rt.n_starts = v->n_starts;
     memcpy(g->rt.starts, v->starts, sizeof(v->starts));
-    if (moved)
+    if (serving_changed)
         sync_phase(g);
 }
 
@@ -147,15 +149,15 @@
     }
     free(n->groups);
     n->groups = next;
-    bool more = n->n_groups != v->n; /* groups are only added */
+    bool groups_added = n->n_groups != v->n; /* groups are added, never removed */
     n->n_groups = v->n;
     for (int i = 0; i < v->n; i++)
         sync_group(n->groups[i], &v->groups[i]);
-    if (more)
+    if (groups_added)
         en_update_holders(n);
 }
 
-/* Whether this node is one of the group's holders. */
+/* Computes the group's holders; returns whether this node is one of them. */
 static bool pick_holders(struct en_node *n, struct en_group *g)
 {
     int out[HO_MAX_HOLDERS], k = n->s->holders;
@@ -183,7 +185,8 @@
     }
 }
 
-/* A planned change: what runs at the old primary may finish, within a bound. */
+/* In a planned change of the primary, statements and transactions at the old primary may finish
+ * until drain_until. */
 static void drain_tick(struct en_group *g)
 {
     if (!g->drain_until)
@@ -208,7 +211,7 @@
     en_send_ack(n, n->acked_generation);
 }
 
-/* ---- time ---- */
+/* ---- periodic work ---- */
 
 static void lease_tick(struct en_node *n)
 {
@@ -220,11 +223,11 @@
     if (n->px)
         px_lease_lost(n->px);
     tl_add(n->tl, TL_LEASE_LOST, "", 0, "lease lost");
-    FL_EVENT(
-        &n->log, LG_WARN, "lease_lost",
-        "generation=%llu detail=writes and reads at the primary wait until control answers",
-        (unsigned long long)n->view.generation);
-    /* Without a lease one connection is kept for reads that need none. */
+    FL_EVENT(&n->log, LG_WARN, "lease_lost",
+             "generation=%llu detail=writes and reads at the primary wait until control grants "
+             "a lease",
+             (unsigned long long)n->view.generation);
+    /* Without a lease the node keeps one connection, for reads that need no lease. */
     for (int g = 0; g < n->n_groups; g++) {
         for (int i = 0; i < n->groups[g]->cfg.n; i++) {
             struct en_inst *in = n->groups[g]->inst[i];
@@ -233,7 +236,7 @@
     }
 }
 
-static void stopped(void *ud)
+static void on_flushed(void *ud)
 {
     struct en_node *n = ud;
     nt_timer_cancel(&n->tick);
@@ -242,9 +245,9 @@
     n->stopped(n->stopped_ud);
 }
 
-/* Everything is answered and the callers have closed; or the bound is reached. Callers that do
- * not understand the notice are given a while after the last answer. */
-static bool may_end(struct en_node *n, int64_t now)
+/* True if all requests are answered and the callers have closed, or the deadline has passed.
+ * Callers that do not understand the notice get LINGER_US after the last answer. */
+static bool may_exit(struct en_node *n, int64_t now)
 {
     if (now > n->stop_deadline)
         return true;
@@ -255,8 +258,8 @@
     return n->n_callers == 0 || nt_heard_until(n->loop) - n->idle_since > LINGER_US;
 }
 
-/* A group that is held elsewhere rests once its connections are closed: hundreds of them are
- * not looked at in every tick. */
+/* A group that other nodes hold becomes idle once its connections are closed, so that ticks
+ * skip the hundreds of such groups. */
 static void group_tick(struct en_group *g, int64_t now)
 {
     g->idle = !g->held;
@@ -289,13 +292,14 @@
             group_tick(group, now);
     }
     en_ack_view(n);
-    if (n->stopping && may_end(n, now)) {
-        /* Whoever came while the lease goes back would be cut off with its first request. */
+    if (n->stopping && may_exit(n, now)) {
+        /* A caller that connects during the lease release would lose its connection with its
+         * first request in flight. */
         nt_refuse_new(n->listener);
         if (n->px)
             px_refuse_new(n->px);
         en_release_lease(n);
-        nt_timer_set(n->loop, &n->tick, FLUSH_US, stopped, n);
+        nt_timer_set(n->loop, &n->tick, FLUSH_US, on_flushed, n);
         return;
     }
     nt_timer_set(n->loop, &n->tick, TICK_US, tick, n);
@@ -315,7 +319,7 @@
     en_callers_notify_stop(n);
     if (n->px)
         px_stop(n->px, ck_now());
-    n->next_renew_at = ck_now(); /* others are to hold its groups from now on */
+    n->next_renew_at = ck_now(); /* tells control now, so that other nodes hold the groups */
     tl_add(n->tl, TL_STOP, "", 0, "planned stop, %d requests to finish", n->n_reqs);
     FL_INFO(&n->log, "stopping: %d requests to finish", n->n_reqs);
 }
@@ -325,7 +329,7 @@
     return en_leased(ud);
 }
 
-static void host_suspect(void *ud, const char *inst, enum wr_health health)
+static void host_report_inst(void *ud, const char *inst, enum wr_health health)
 {
     en_send_suspicion(ud, inst, health);
 }
@@ -336,7 +340,8 @@
     if (!s->sessions.port)
         return true;
     if (!n->interface)
-        return er_set(err, ER_CONFIG, "entry.sessions needs an interface that speaks lines");
+        return er_set(err, ER_CONFIG,
+                      "entry.sessions needs the interface of an outside platform");
     struct px_config cfg = {.name = s->name,
                             .domain = s->domain,
                             .ip = s->sessions.ip,
@@ -346,13 +351,13 @@
                             .seed = n->id,
                             .codec = n->interface->sessions,
                             .documents = n->interface->documents,
-                            .host = {host_leased, host_suspect, n}};
+                            .host = {host_leased, host_report_inst, n}};
     n->px = px_create(n->loop, &cfg, err);
     return n->px != NULL;
 }
 
 struct en_node *en_create(struct nt_loop *l, const struct st_settings *s, struct tl_ring *tl,
-                          const struct en_interface *outside, struct er_err *err)
+                          const struct en_interface *interface, struct er_err *err)
 {
     struct en_node *n = sr_alloc(sizeof(*n));
     n->log.prefix = "entry";
@@ -364,11 +369,11 @@
     randombytes_buf(&n->id, sizeof(n->id));
     n->id |= 1;
     n->rng = rn_seed(n->id);
-    n->interface = outside;
+    n->interface = interface;
     n->lease_lost_at = INT64_MIN / 2;
     if (s->secret[0])
         ss_key_from(&n->key, sr_from(s->secret));
-    else /* sessions carry no tokens: nobody has to read this one's */
+    else /* sessions carry no tokens, so no other node has to read this node's tokens */
         randombytes_buf(&n->key, sizeof(n->key));
     vw_init(&n->view);
     en_links_start(n);
--- a/entry/entry.h
+++ b/entry/entry.h
@@ -234,7 +234,7 @@
 
 /* entry.c */
 struct en_node *en_create(struct nt_loop *l, const struct st_settings *s, struct tl_ring *tl,
-                          const struct en_interface *outside, struct er_err *err);
+                          const struct en_interface *interface, struct er_err *err);
 /* Reason why the load balancer must not send callers to this node; NULL if it may. */
 const char *en_not_ready(const struct en_node *n);
 /* IP address of the control node that granted the last lease; "" if no lease is valid. */
