--- a/entry/request.c
+++ b/entry/request.c
@@ -1,4 +1,4 @@
-/* A request's life: from the caller's text to its one answer. */
+/* Requests from callers: parsing, admission checks, deadlines and the answer. */
 #include <stddef.h>
 #include <stdlib.h>
 
@@ -10,7 +10,7 @@
 enum {
     NO_LEASE_RETRY_MS = 200,
     RETRY_BUDGET_MAX = 100,
-    READ_SILENT_US = 200000, /* a read at an instance silent for so long goes elsewhere */
+    STUCK_READ_US = 200000, /* then a read at a silent instance is sent to another one */
 };
 
 /* ---- answering ---- */
@@ -27,7 +27,7 @@
     n->n_reqs--;
 }
 
-static void unchain(struct en_req **at, struct en_req *r)
+static void unlink_waiting(struct en_req **at, struct en_req *r)
 {
     while (*at && *at != r)
         at = &(*at)->next_waiting;
@@ -35,23 +35,23 @@
         *at = r->next_waiting;
 }
 
-/* Take the request out of whatever list it waits in. */
+/* Removes the request from the queue, list or connection that its state names. */
 static void detach(struct en_req *r)
 {
     struct en_group *g = r->group;
     if (r->state == EN_PARKED) {
-        unchain(&g->parked, r);
+        unlink_waiting(&g->parked, r);
         g->parked_tail = &g->parked;
         while (*g->parked_tail)
             g->parked_tail = &(*g->parked_tail)->next_waiting;
         g->n_parked--;
     } else if (r->state == EN_AWAIT_COPIES) {
-        unchain(&g->awaiting_copies, r);
+        unlink_waiting(&g->awaiting_copies, r);
     } else if (r->state == EN_SENT && r->ep && r->ep->req == r) {
         r->ep->req = NULL;
-        r->ep->discard_reply = true; /* its reply is late now */
+        r->ep->discard_reply = true; /* the reply may still come; it counts as late */
         if (r->txn)
-            en_ep_close(r->ep); /* nobody can say how far the transaction is */
+            en_ep_close(r->ep); /* the state of the transaction is not known */
     } else if (r->state == EN_QUEUED) {
         ad_remove(&r->inst->queue, &r->item);
     } else if (r->state == EN_FORWARDED && r->upstream) {
@@ -61,7 +61,7 @@
     r->state = EN_NEW;
 }
 
-static void count(struct en_node *n, const struct en_req *r, enum er_kind kind)
+static void count_answer(struct en_node *n, const struct en_req *r, enum er_kind kind)
 {
     static const size_t at[] = {[ER_ANS_OK] = offsetof(struct en_counters, ok),
                                 [ER_ANS_NOT_RUN] = offsetof(struct en_counters, not_run),
@@ -91,7 +91,7 @@
 {
     struct en_caller *c = r->caller;
     detach(r);
-    count(c->node, r, kind);
+    count_answer(c->node, r, kind);
     send_text(c, text, kind);
     unlink_req(r);
     if (r->txn && r->txn->busy)
@@ -126,7 +126,7 @@
 
 void en_fail(struct en_req *r, enum er_kind kind, int64_t retry_ms, const char *detail)
 {
-    /* Refused at the second try: the first may have run all the same. */
+    /* A refusal of a repeated write does not tell whether the first attempt ran. */
     if (r->may_have_run && er_answer(kind) == ER_ANS_NOT_RUN)
         kind = ER_LOST;
     struct cl_answer a = {.kind = kind, .retry_after_ms = retry_ms, .detail = detail};
@@ -157,7 +157,7 @@
     en_answer(r, &a);
 }
 
-/* ---- terms and time ---- */
+/* ---- terms and deadlines ---- */
 
 int en_writes_in_flight(const struct en_group *g)
 {
@@ -169,7 +169,8 @@
     return n;
 }
 
-/* The term is over here: whatever ran in it has no answer we may give. */
+/* Stops serving the term. A request that ran in it must not be acknowledged any more: it fails,
+ * except a read without a transaction that is still at the instance, which is routed again. */
 void en_drop_term(struct en_group *g)
 {
     struct en_req *next;
@@ -182,7 +183,8 @@
             r->ep->req = NULL;
             r->ep->discard_reply = true;
             r->ep = NULL;
-            en_defer(r, ER_NONE, 0); /* it changed nothing: ask the next primary */
+            en_defer(r, ER_NONE,
+                     0); /* a read changes nothing and can run at the next primary */
         } else if (r->state == EN_SENT || r->state == EN_AWAIT_COPIES) {
             en_fail(r, ER_REPLACED, 0, "the primary was replaced while the statement ran");
         }
@@ -190,46 +192,47 @@
     en_txns_drop(g);
 }
 
-/* Somebody may have run it. */
-static bool away(const struct en_req *r)
+/* True if the request has left this node, so that an instance may have run it. */
+static bool may_have_reached(const struct en_req *r)
 {
     return r->state == EN_SENT || r->state == EN_AWAIT_COPIES || r->state == EN_FORWARDED;
 }
 
 static enum er_kind past_deadline(const struct en_req *r)
 {
-    if (away(r))
+    if (may_have_reached(r))
         return r->req.kind == CL_BEGIN ? ER_DEADLINE : ER_LOST;
     return r->state == EN_PARKED ? ER_NO_PRIMARY : ER_DEADLINE;
 }
 
-static bool parked_too_long(const struct en_req *r, int64_t heard)
+static bool parked_too_long(const struct en_req *r, int64_t received_until)
 {
     const struct en_node *n = r->group->node;
-    bool leased = ls_live(&n->lease, heard) || n->s->off_terms;
-    return r->state == EN_PARKED && (heard - r->parked_at > CK_MS(n->s->park_ms) || !leased);
+    bool leased = ls_live(&n->lease, received_until) || n->s->off_terms;
+    return r->state == EN_PARKED &&
+           (received_until - r->parked_at > CK_MS(n->s->park_ms) || !leased);
 }
 
-static bool stuck_read(const struct en_req *r, int64_t heard)
+static bool stuck_read(const struct en_req *r, int64_t received_until)
 {
     if (r->state != EN_SENT || r->req.kind != CL_READ || r->txn || r->at_primary || !r->inst)
         return false;
-    return !en_inst_usable(r->inst) && heard - r->ep->sent_at > READ_SILENT_US;
+    return !en_inst_usable(r->inst) && received_until - r->ep->sent_at > STUCK_READ_US;
 }
 
 void en_expire_requests(struct en_node *n, int64_t now)
 {
     struct en_req *next;
-    int64_t heard = nt_heard_until(n->loop);
+    int64_t received_until = nt_heard_until(n->loop);
     for (struct en_req *r = n->reqs; r; r = next) {
         next = r->next;
         if (r->state == EN_DEFERRED)
             continue;
-        if ((away(r) ? heard : now) >= r->deadline) {
+        if ((may_have_reached(r) ? received_until : now) >= r->deadline) {
             en_fail(r, past_deadline(r), en_jitter(n, 50), "the deadline passed");
-        } else if (parked_too_long(r, heard)) {
+        } else if (parked_too_long(r, received_until)) {
             en_fail(r, en_leased(n) ? ER_NO_PRIMARY : ER_NO_LEASE, en_jitter(n, 200), NULL);
-        } else if (stuck_read(r, heard)) {
+        } else if (stuck_read(r, received_until)) {
             struct en_ep *ep = r->ep;
             r->tried_mask |= 1u << r->inst->index;
             ep->req = NULL;
@@ -246,7 +249,7 @@
     return !r->repeat_safe && (r->kind == CL_WRITE || r->kind == CL_COMMIT);
 }
 
-/* Instances that remember no ids can't tell whether the first sending ran. */
+/* Instances that store no request ids can't tell whether the first attempt ran. */
 static bool cannot_resend(const struct en_node *n, const struct cl_request *r)
 {
     return r->resend && is_unsafe(r) && !n->s->claims;
@@ -264,7 +267,7 @@
     struct en_node *n = r->caller->node;
     r->group = en_group(n, r->req.db);
     if (n->stopping && !r->req.txn[0]) {
-        en_fail(r, ER_STOPPING, 1, "this node is stopping: use another");
+        en_fail(r, ER_STOPPING, 1, "this node is stopping: use another node");
         return;
     }
     if (n->view.generation == 0) {
@@ -281,7 +284,7 @@
         return;
     }
     if (cannot_resend(n, &r->req)) {
-        en_fail(r, ER_LOST, 0, "the database remembers no request ids: look before you resend");
+        en_fail(r, ER_LOST, 0, "the database keeps no request ids: check before you resend");
         return;
     }
     if (r->req.token[0]) {
@@ -315,7 +318,7 @@
     }
     r->deadline = r->arrived_at + CK_MS(r->req.deadline_ms);
     if (n->n_reqs > n->s->max_outstanding) {
-        en_fail(r, ER_OVERLOAD, en_jitter(n, 100), "too many requests are held");
+        en_fail(r, ER_OVERLOAD, en_jitter(n, 100), "too many requests are in progress");
         return;
     }
     admit_request(r);
--- a/entry/routing.c
+++ b/entry/routing.c
@@ -1,4 +1,5 @@
-/* Where a request goes: to a replica, to the primary, to another entry node, or to wait. */
+/* Routing: sends each request to a replica, to the primary or to another entry node, or parks
+ * it until the group has a primary. */
 #include <stddef.h>
 #include <stdlib.h>
 
@@ -8,7 +9,7 @@
 #include "misc/clock.h"
 
 enum {
-    MAX_PARKED = 2000, /* requests of a group that wait for a primary */
+    MAX_PARKED = 2000, /* limit of a group's requests that wait for a primary */
     MAX_ATTEMPTS = 6,
     NO_LEASE_RETRY_MS = 200,
 };
@@ -24,7 +25,8 @@
         return;
     }
     if (g->n_parked >= MAX_PARKED) {
-        en_fail(r, ER_OVERLOAD, en_jitter(n, NO_LEASE_RETRY_MS), "too many wait for a primary");
+        en_fail(r, ER_OVERLOAD, en_jitter(n, NO_LEASE_RETRY_MS),
+                "too many requests wait for a primary");
         return;
     }
     if (g->n_parked == 0)
@@ -56,7 +58,7 @@
     }
 }
 
-static void run_later(void *ud)
+static void run_deferred(void *ud)
 {
     struct en_node *n = ud;
     struct en_req *r = n->deferred;
@@ -81,18 +83,20 @@
     r->deferred_retry_ms = retry_ms;
     r->next_waiting = n->deferred;
     n->deferred = r;
-    nt_timer_set(n->loop, &n->deferred_timer, 1, run_later, n);
+    nt_timer_set(n->loop, &n->deferred_timer, 1, run_deferred, n);
 }
 
 /* ---- routing ---- */
 
-/* An instance that checks positions itself also refuses while its log may still lose its end.
- * One that does not is asked only when it is known to follow the term in force. */
-static bool follows(const struct en_inst *in)
+/* With the setting minpos an instance checks positions itself, and it also refuses
+ * reads while the end of its log may still be lost. Without minpos an instance gets reads only
+ * if it is known to follow the term in force. */
+static bool follows_serve_term(const struct en_inst *in)
 {
     const struct en_group *g = in->group;
-    bool checks = in->node->s->minpos;
-    return checks || in->index == g->cfg.primary || in->followed_term == g->serve_term;
+    bool checks_positions = in->node->s->minpos;
+    return checks_positions || in->index == g->cfg.primary ||
+           in->followed_term == g->serve_term;
 }
 
 static void refresh_route(struct en_group *g)
@@ -101,16 +105,17 @@
     rt->primary = g->cfg.phase == VW_SERVING ? g->cfg.primary : -1;
     for (int i = 0; i < g->cfg.n; i++) {
         struct en_inst *in = g->inst[i];
-        /* A primary on its way out may hold what nobody else does and nobody ever will. */
-        bool leaving = g->cfg.phase != VW_SERVING && i == g->cfg.primary;
-        rt->inst[i].usable = en_inst_usable(in) && !leaving && follows(in);
+        /* A primary that is being replaced may hold entries that no other instance will ever
+         * get. */
+        bool being_replaced = g->cfg.phase != VW_SERVING && i == g->cfg.primary;
+        rt->inst[i].usable = en_inst_usable(in) && !being_replaced && follows_serve_term(in);
         rt->inst[i].draining = g->cfg.inst[i].draining;
         rt->inst[i].in_flight = in->queue.in_flight + in->queue.queued;
         rt->inst[i].limit = in->queue.limit >= 1 ? (int)in->queue.limit : 1;
     }
 }
 
-static enum ad_class class_of(const struct en_req *r)
+static enum ad_class admission_class(const struct en_req *r)
 {
     if (r->req.kind != CL_READ)
         return AD_WRITE;
@@ -122,7 +127,7 @@
     int64_t retry = 0, now = ck_now();
     r->inst = in;
     r->at_primary = in->index == in->group->cfg.primary;
-    r->item.cls = class_of(r);
+    r->item.cls = admission_class(r);
     r->item.account = XXH64(r->req.account, strlen(r->req.account), 0);
     r->item.deadline = r->deadline;
     r->item.first = r->req.priority > 0;
@@ -133,13 +138,13 @@
     }
     r->tried_mask |= 1u << in->index;
     if (r->req.kind == CL_READ && !r->at_primary) {
-        en_route(r); /* another replica may have room */
+        en_route(r); /* another replica may have queue space */
         return;
     }
     en_fail(r, ER_OVERLOAD, retry, NULL);
 }
 
-static void to_primary(struct en_req *r)
+static void route_to_primary(struct en_req *r)
 {
     struct en_group *g = r->group;
     if (g->cfg.phase != VW_SERVING || g->cfg.primary < 0) {
@@ -177,12 +182,12 @@
     if (n->s->off_tokens && r->has_token)
         q.token = (struct ps_pos){0};
     if (n->s->primary_only) {
-        to_primary(r);
+        route_to_primary(r);
         return;
     }
     struct rt_choice c = rt_choose_for_read(&g->rt, &q, r->tried_mask, now);
     if (c.inst < 0 || c.primary) {
-        to_primary(r);
+        route_to_primary(r);
         return;
     }
     r->min_pos = c.min;
@@ -196,7 +201,8 @@
     r->state = EN_NEW;
     r->ep = NULL;
     if (++r->attempts > MAX_ATTEMPTS && r->req.kind == CL_READ) {
-        en_fail(r, ER_ENDPOINT, en_jitter(r->caller->node, 50), "no instance could serve it");
+        en_fail(r, ER_ENDPOINT, en_jitter(r->caller->node, 50),
+                "no instance could serve the read");
         return;
     }
     if (!r->group->held)
@@ -204,5 +210,5 @@
     else if (r->req.kind == CL_READ)
         route_read(r);
     else
-        to_primary(r);
+        route_to_primary(r);
 }
