--- a/entry/caller.c
+++ b/entry/caller.c
@@ -1,11 +1,12 @@
-/* Callers' sockets. */
+/* Callers' connections: accepting WebSocket connections and HTTP requests, and closing them. */
 #include <stdlib.h>
 
 #include "entry/entry.h"
 
 static const char going_away[] = "{\"notice\":\"going_away\"}";
 
-/* Who comes while this node stops is told so, rather than cut off with a request on its way. */
+/* A caller that connects while this node stops gets the notice at once, so that its connection
+ * is not closed with a request in flight. */
 static void on_open(struct nt_conn *net, void *ud)
 {
     struct en_caller *c = ud;
@@ -23,7 +24,7 @@
 void en_caller_release(struct en_caller *c)
 {
     if (c->http && c->outstanding == 0)
-        c->net = NULL; /* one request, one answer */
+        c->net = NULL; /* the connection served its one HTTP request */
     if (c->net || c->outstanding > 0)
         return;
     if (c->prev)
--- a/entry/replies.c
+++ b/entry/replies.c
@@ -1,28 +1,28 @@
-/* What comes back from an endpoint, and when it may be acknowledged. */
+/* Replies from endpoints: when a statement may be acknowledged, and what is retried. */
 #include <stddef.h>
 #include <stdlib.h>
 
 #include "entry/entry.h"
 #include "misc/clock.h"
 
-/* ---- waiting until enough instances hold it ---- */
+/* ---- waiting until enough instances hold a position ---- */
 
-static int holders(const struct en_group *g, struct ps_pos pos)
+static int count_copies(const struct en_group *g, struct ps_pos pos)
 {
     int n = 0;
     for (int i = 0; i < g->cfg.n; i++) {
         if (i == g->cfg.primary) {
-            n++; /* it answered with this position */
+            n++; /* the primary replied with this position, so it holds it */
             continue;
         }
         if (g->cfg.inst[i].draining)
-            continue; /* it may be removed any moment */
+            continue; /* a draining instance may be removed at any moment */
         n += ps_covers(g->inst[i]->held_pos, pos, g->cfg.starts, g->cfg.n_starts);
     }
     return n;
 }
 
-static void first_write(struct en_group *g, const struct en_req *r)
+static void record_first_write(struct en_group *g, const struct en_req *r)
 {
     if (g->first_write_term == r->term || r->req.kind == CL_READ)
         return;
@@ -30,24 +30,24 @@
     tl_add(g->node->tl, TL_FIRST_WRITE, g->cfg.name, r->term, "first acknowledged write");
 }
 
-/* The one place where an acknowledgement leaves: the lease must be live and for the term the
- * statement ran in. */
+/* Every acknowledgement of a write, a commit or a read at the primary is sent here. The lease
+ * must be valid, and the statement must have run in the term that this node serves. */
 static void acknowledge(struct en_req *r)
 {
     struct en_group *g = r->group;
-    bool in_force = en_leased(g->node) && r->term == g->serve_term;
-    if (!in_force && !g->node->s->off_terms) {
+    bool may_acknowledge = en_leased(g->node) && r->term == g->serve_term;
+    if (!may_acknowledge && !g->node->s->off_terms) {
         en_fail(r, ER_REPLACED, 0, "the primary was replaced or this node lost its lease");
         return;
     }
-    first_write(g, r);
+    record_first_write(g, r);
     en_succeed(r);
 }
 
 void en_await_copies(struct en_req *r)
 {
     struct en_group *g = r->group;
-    if (holders(g, r->pos) >= g->cfg.copies || g->node->s->off_copies) {
+    if (count_copies(g, r->pos) >= g->cfg.copies || g->node->s->off_copies) {
         acknowledge(r);
         return;
     }
@@ -66,7 +66,7 @@
     struct en_req *r = g->awaiting_copies;
     while (r) {
         struct en_req *next = r->next_waiting;
-        if (holders(g, r->pos) >= g->cfg.copies)
+        if (count_copies(g, r->pos) >= g->cfg.copies)
             acknowledge(r);
         r = next;
     }
@@ -74,7 +74,7 @@
 
 /* ---- replies ---- */
 
-static void read_done(struct en_req *r, struct en_inst *in, const struct ep_reply *rep)
+static void finish_read(struct en_req *r, struct en_inst *in, const struct ep_reply *rep)
 {
     struct en_node *n = in->node;
     r->pos = rep->pos;
@@ -83,21 +83,22 @@
         en_succeed(r);
         return;
     }
-    /* What was read at the primary must not vanish with it: wait like a write. */
+    /* A value read at the primary must not be lost if the primary fails, so the read waits for
+     * copies like a write. */
     n->c.reads_primary++;
     en_await_copies(r);
 }
 
-static void refused(struct en_req *r, struct en_inst *in)
+static void park_refused(struct en_req *r, struct en_inst *in)
 {
-    /* The instance did not run it: this view is older than its term. */
+    /* The instance did not run the request, as its term is newer than this node's view. */
     en_report_inst(in, WR_UNKNOWN);
     en_park(r);
 }
 
-/* The replica read before it had applied what the read needs: where the instance does not check
- * that (MINPOS), the position in its reply tells. */
-static bool came_too_early(const struct en_req *r, const struct ep_reply *rep)
+/* True if the replica ran the read before it had applied min_pos. For an instance that does not
+ * check this itself (MINPOS), the position in its reply shows it. */
+static bool read_before_min_pos(const struct en_req *r, const struct ep_reply *rep)
 {
     const struct vw_group *g = &r->group->cfg;
     if (r->req.kind != CL_READ || r->at_primary || !r->min_pos.pos)
@@ -120,7 +121,7 @@
         en_route(r);
         return;
     case EP_REFUSED:
-        refused(r, in);
+        park_refused(r, in);
         return;
     case EP_BAD: {
         char detail[160];
@@ -131,7 +132,7 @@
     case EP_OK:
         break;
     }
-    if (came_too_early(r, rep)) {
+    if (read_before_min_pos(r, rep)) {
         in->node->c.reads_behind++;
         r->tried_mask |= 1u << in->index;
         en_route(r);
@@ -140,7 +141,7 @@
     sr_buf_add(&r->value, rep->value.p, rep->value.len);
     r->duplicate = rep->duplicate;
     if (r->req.kind == CL_READ) {
-        read_done(r, in, rep);
+        finish_read(r, in, rep);
         return;
     }
     in->node->c.writes++;
--- a/entry/request.c
+++ b/entry/request.c
@@ -63,11 +63,12 @@
 
 static void count_answer(struct en_node *n, const struct en_req *r, enum er_kind kind)
 {
-    static const size_t at[] = {[ER_ANS_OK] = offsetof(struct en_counters, ok),
-                                [ER_ANS_NOT_RUN] = offsetof(struct en_counters, not_run),
-                                [ER_ANS_UNKNOWN] = offsetof(struct en_counters, unknown),
-                                [ER_ANS_REJECTED] = offsetof(struct en_counters, rejected)};
-    (*(uint64_t *)((char *)&n->c + at[er_answer(kind)]))++;
+    static const size_t offsets[] = {[ER_ANS_OK] = offsetof(struct en_counters, ok),
+                                     [ER_ANS_NOT_RUN] = offsetof(struct en_counters, not_run),
+                                     [ER_ANS_UNKNOWN] = offsetof(struct en_counters, unknown),
+                                     [ER_ANS_REJECTED] =
+                                         offsetof(struct en_counters, rejected)};
+    (*(uint64_t *)((char *)&n->c + offsets[er_answer(kind)]))++;
     n->c.by_reason[kind]++;
     if (kind != ER_NONE)
         return;
@@ -242,7 +243,7 @@
     }
 }
 
-/* ---- arrival ---- */
+/* ---- admission ---- */
 
 static bool is_unsafe(const struct cl_request *r)
 {
--- a/entry/routing.c
+++ b/entry/routing.c
@@ -88,9 +88,9 @@
 
 /* ---- routing ---- */
 
-/* With the setting minpos an instance checks positions itself, and it also refuses
- * reads while the end of its log may still be lost. Without minpos an instance gets reads only
- * if it is known to follow the term in force. */
+/* With the setting minpos an instance checks positions itself, and it also refuses reads while
+ * the end of its log may still be lost. Without minpos an instance gets reads only if it is
+ * known to follow the term in force. */
 static bool follows_serve_term(const struct en_inst *in)
 {
     const struct en_group *g = in->group;
--- a/entry/txn.c
+++ b/entry/txn.c
@@ -1,10 +1,11 @@
-/* Transactions: pinned to one endpoint connection, owned by one caller. */
+/* Transactions. Each is pinned to one endpoint connection and belongs to one caller's
+ * connection. */
 #include <stdlib.h>
 
 #include "entry/entry.h"
 #include "misc/clock.h"
 
-static struct en_txn *find(struct en_caller *c, const char *name)
+static struct en_txn *find_txn(struct en_caller *c, const char *name)
 {
     for (struct en_txn *t = c->node->txns; t; t = t->next) {
         if (t->caller == c && strcmp(t->name, name) == 0)
@@ -22,15 +23,16 @@
         *at = t->next;
 }
 
-/* Give the connection back: after a confirmed end, or by a rollback whose answer is awaited. */
-static void let_go(struct en_ep *ep, bool rollback)
+/* Unpins the connection. With `rollback` the connection is free only after the reply to a
+ * rollback, or is closed; otherwise the end of the transaction is confirmed already. */
+static void unpin(struct en_ep *ep, bool rollback)
 {
     ep->txn = NULL;
     if (!rollback)
         return;
     struct ep_request q = {.op = EP_ROLLBACK};
     if (ep->req_id) {
-        en_ep_close(ep); /* a statement is at work: closing rolls back */
+        en_ep_close(ep); /* a statement is running: closing rolls back */
         return;
     }
     ep->rolling_back = true;
@@ -42,7 +44,7 @@
 {
     struct en_node *n = t->caller->node;
     if (t->ep)
-        let_go(t->ep, rollback);
+        unpin(t->ep, rollback);
     for (struct en_req *r = n->reqs; r; r = r->next) {
         if (r->txn == t)
             r->txn = NULL;
@@ -109,24 +111,24 @@
     t->last_used = ck_now();
     if (!en_ep_send(t->ep, r, &q)) {
         r->state = EN_NEW;
-        en_fail(r, ER_BAD_TXN, 0, "the transaction's connection is gone; it is rolled back");
+        en_fail(r, ER_BAD_TXN, 0, "the transaction's connection was lost; it is rolled back");
     }
 }
 
 void en_txn_request(struct en_req *r)
 {
-    struct en_txn *t = find(r->caller, r->req.txn);
+    struct en_txn *t = find_txn(r->caller, r->req.txn);
     if (!t || t->group != r->group) {
         en_fail(r, ER_BAD_TXN, 0, "no such transaction on this connection");
         return;
     }
     if (r->req.kind == CL_BEGIN) {
-        en_fail(r, ER_BAD_TXN, 0, "a transaction is open already");
+        en_fail(r, ER_BAD_TXN, 0, "a transaction is already open");
         return;
     }
-    bool live = t->ep && !t->ep->closing && en_leased(r->group->node) &&
-                t->term == r->group->serve_term;
-    if (!live) {
+    bool usable = t->ep && !t->ep->closing && en_leased(r->group->node) &&
+                  t->term == r->group->serve_term;
+    if (!usable) {
         en_txn_end(t, true);
         en_fail(r, ER_BAD_TXN, 0, "the transaction was lost and rolled back");
         return;
@@ -153,7 +155,7 @@
     en_fail(r, ER_BAD_TXN, 0, "the transaction was lost and rolled back");
 }
 
-static void answer_inside(struct en_req *r)
+static void answer_in_txn(struct en_req *r)
 {
     struct cl_answer a = {.value = {r->value.p ? r->value.p : "", r->value.len},
                           .token = r->req.token,
@@ -180,12 +182,12 @@
     switch (r->req.kind) {
     case CL_BEGIN:
         if (!r->caller->net) {
-            en_ep_close(ep); /* its caller is gone */
+            en_ep_close(ep); /* the caller has disconnected */
             en_fail(r, ER_LOST, 0, NULL);
             return;
         }
         en_txn_begun(r, ep);
-        answer_inside(r);
+        answer_in_txn(r);
         return;
     case CL_COMMIT:
         n->c.commits++;
@@ -197,15 +199,15 @@
     case CL_ROLLBACK:
         n->c.rollbacks++;
         en_txn_end(r->txn, false);
-        answer_inside(r);
+        answer_in_txn(r);
         return;
     default:
-        answer_inside(r);
+        answer_in_txn(r);
         return;
     }
 }
 
-/* ---- ends that nobody asked for ---- */
+/* ---- transactions ended without a request ---- */
 
 void en_txns_caller_closed(struct en_caller *c)
 {
@@ -220,10 +222,10 @@
 void en_txns_expire(struct en_node *n)
 {
     struct en_txn *next;
-    int64_t heard = nt_heard_until(n->loop);
+    int64_t received_until = nt_heard_until(n->loop);
     for (struct en_txn *t = n->txns; t; t = next) {
         next = t->next;
-        if (!t->busy && heard - t->last_used > CK_MS(n->s->txn_idle_ms))
+        if (!t->busy && received_until - t->last_used > CK_MS(n->s->txn_idle_ms))
             en_txn_end(t, true);
     }
 }
