--- a/entry/caller.c
+++ b/entry/caller.c
@@ -1,11 +1,12 @@
-/* Callers' sockets. */
+/* Callers' connections: accepting WebSocket connections and HTTP requests, and closing them. */
 #include <stdlib.h>
 
 #include "entry/entry.h"
 
 static const char going_away[] = "{\"notice\":\"going_away\"}";
 
-/* Who comes while this node stops is told so, rather than cut off with a request on its way. */
+/* A caller that connects while this node stops gets the notice at once, so that its connection
+ * is not closed with a request in flight. */
 static void on_open(struct nt_conn *net, void *ud)
 {
     struct en_caller *c = ud;
@@ -23,7 +24,7 @@
 void en_caller_release(struct en_caller *c)
 {
     if (c->http && c->outstanding == 0)
-        c->net = NULL; /* one request, one answer */
+        c->net = NULL; /* the connection served its one HTTP request */
     if (c->net || c->outstanding > 0)
         return;
     if (c->prev)
@@ -43,8 +44,8 @@
     (void)opened;
     (void)refused;
     c->net = NULL;
-    en_caller_gone(c);
-    en_ups_caller_gone(c);
+    en_txns_caller_closed(c);
+    en_upstreams_caller_closed(c);
     en_caller_release(c);
 }
 
@@ -72,7 +73,7 @@
     return caller_new(n, net, false);
 }
 
-void en_callers_notice(struct en_node *n)
+void en_callers_notify_stop(struct en_node *n)
 {
     for (struct en_caller *c = n->callers; c; c = c->next) {
         if (c->net && !c->http)
@@ -93,7 +94,7 @@
     if (strcmp(req->path, "/v1/request") == 0 && strcmp(req->method, "POST") == 0)
         http_request(req, n);
     else
-        en_http(req);
+        en_handle_http(req);
 }
 
 bool en_callers_listen(struct en_node *n, struct er_err *err)
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -1,3 +1,5 @@
+/* The entry node itself: creation, planned stop, the periodic tick, and applying a changed view
+ * to the groups and instances. */
 #include "entry/entry.h"
 
 #include <stdlib.h>
@@ -8,16 +10,16 @@
 
 enum {
     TICK_US = 5000,
-    DRAIN_US = 1000000,
-    FLUSH_US = 50000,
-    LINGER_US = 1000000,
-    SAMPLES_LAG = -1
+    DRAIN_US = 1000000,  /* for statements in flight to finish before a planned change */
+    FLUSH_US = 50000,    /* for sending the lease release before the exit */
+    LINGER_US = 1000000, /* for callers that do not close on the notice */
+    LAG_UNKNOWN = -1
 };
 
 struct en_group *en_group(struct en_node *n, const char *name)
 {
     int lo = 0, hi = n->n_groups;
-    while (lo < hi) { /* sorted like the view's */
+    while (lo < hi) { /* sorted by name, like the view's groups */
         int mid = (lo + hi) / 2;
         int c = strcmp(n->groups[mid]->cfg.name, name);
         if (c == 0)
@@ -45,7 +47,7 @@
     return ls_live(&n->lease, ck_now()) || n->s->off_terms;
 }
 
-/* ---- bringing groups in line with the view ---- */
+/* ---- applying the view ---- */
 
 static struct en_group *group_new(struct en_node *n)
 {
@@ -57,7 +59,7 @@
     return g;
 }
 
-static struct en_inst *take_inst(struct en_group *g, const char *id)
+static struct en_inst *detach_inst(struct en_group *g, const char *id)
 {
     for (int i = 0; i < VW_MAX_INSTANCES; i++) {
         struct en_inst *in = g->inst[i];
@@ -74,22 +76,22 @@
     struct en_inst *next[VW_MAX_INSTANCES] = {0};
     struct rt_inst rt[RT_MAX_INSTANCES] = {0};
     for (int i = 0; i < v->n; i++) {
-        struct en_inst *in = take_inst(g, v->inst[i].id);
+        struct en_inst *in = detach_inst(g, v->inst[i].id);
         if (in) {
-            rt[i] = g->rt.inst[in->at];
+            rt[i] = g->rt.inst[in->index];
         } else {
             in = sr_alloc(sizeof(*in));
             en_inst_init(in, g->node, g, i, &v->inst[i]);
-            rt[i].lag_us = SAMPLES_LAG;
+            rt[i].lag_us = LAG_UNKNOWN;
         }
-        in->at = i;
+        in->index = i;
         in->cfg = v->inst[i];
         rt[i].distance = rt_distance(g->node->s->domain, in->cfg.domain);
         next[i] = in;
     }
     for (int i = 0; i < VW_MAX_INSTANCES; i++) {
         if (g->inst[i])
-            en_inst_gone(g->inst[i]);
+            en_inst_remove(g->inst[i]);
     }
     memcpy(g->inst, next, sizeof(next));
     memcpy(g->rt.inst, rt, sizeof(rt));
@@ -123,13 +125,13 @@
 
 static void sync_group(struct en_group *g, const struct vw_group *v)
 {
-    bool moved = g->cfg.term != v->term || g->cfg.phase != v->phase;
+    bool serving_changed = g->cfg.term != v->term || g->cfg.phase != v->phase;
     sync_instances(g, v);
-    g->rests = false;
+    g->idle = false;
     g->cfg = *v;
     g->rt.n_starts = v->n_starts;
     memcpy(g->rt.starts, v->starts, sizeof(v->starts));
-    if (moved)
+    if (serving_changed)
         sync_phase(g);
 }
 
@@ -147,15 +149,15 @@
     }
     free(n->groups);
     n->groups = next;
-    bool more = n->n_groups != v->n; /* groups are only added */
+    bool groups_added = n->n_groups != v->n; /* groups are added, never removed */
     n->n_groups = v->n;
     for (int i = 0; i < v->n; i++)
         sync_group(n->groups[i], &v->groups[i]);
-    if (more)
-        en_holding_changed(n);
+    if (groups_added)
+        en_update_holders(n);
 }
 
-/* Whether this node is one of the group's holders. */
+/* Computes the group's holders; returns whether this node is one of them. */
 static bool pick_holders(struct en_node *n, struct en_group *g)
 {
     int out[HO_MAX_HOLDERS], k = n->s->holders;
@@ -168,7 +170,7 @@
     return held;
 }
 
-void en_holding_changed(struct en_node *n)
+void en_update_holders(struct en_node *n)
 {
     for (int i = 0; i < n->n_groups; i++) {
         struct en_group *g = n->groups[i];
@@ -176,14 +178,15 @@
         if (held == g->held)
             continue;
         g->held = held;
-        g->rests = false;
+        g->idle = false;
         for (int k = 0; k < g->cfg.n && !held; k++)
-            en_inst_let_go(g->inst[k]);
+            en_inst_release(g->inst[k]);
         en_unpark(g);
     }
 }
 
-/* A planned change: what runs at the old primary may finish, within a bound. */
+/* In a planned change of the primary, statements and transactions at the old primary may finish
+ * until drain_until. */
 static void drain_tick(struct en_group *g)
 {
     if (!g->drain_until)
@@ -198,17 +201,17 @@
 
 void en_ack_view(struct en_node *n)
 {
-    if (n->acked == n->view.generation || (n->px && !px_settled(n->px)))
+    if (n->acked_generation == n->view.generation || (n->px && !px_settled(n->px)))
         return;
     for (int i = 0; i < n->n_groups; i++) {
         if (n->groups[i]->drain_until)
             return;
     }
-    n->acked = n->view.generation;
-    en_send_ack(n, n->acked);
+    n->acked_generation = n->view.generation;
+    en_send_ack(n, n->acked_generation);
 }
 
-/* ---- time ---- */
+/* ---- periodic work ---- */
 
 static void lease_tick(struct en_node *n)
 {
@@ -220,11 +223,11 @@
     if (n->px)
         px_lease_lost(n->px);
     tl_add(n->tl, TL_LEASE_LOST, "", 0, "lease lost");
-    FL_EVENT(
-        &n->log, LG_WARN, "lease_lost",
-        "generation=%llu detail=writes and reads at the primary wait until control answers",
-        (unsigned long long)n->view.generation);
-    /* Without a lease one connection is kept for reads that need none. */
+    FL_EVENT(&n->log, LG_WARN, "lease_lost",
+             "generation=%llu detail=writes and reads at the primary wait until control grants "
+             "a lease",
+             (unsigned long long)n->view.generation);
+    /* Without a lease the node keeps one connection, for reads that need no lease. */
     for (int g = 0; g < n->n_groups; g++) {
         for (int i = 0; i < n->groups[g]->cfg.n; i++) {
             struct en_inst *in = n->groups[g]->inst[i];
@@ -233,7 +236,7 @@
     }
 }
 
-static void stopped(void *ud)
+static void on_flushed(void *ud)
 {
     struct en_node *n = ud;
     nt_timer_cancel(&n->tick);
@@ -242,31 +245,31 @@
     n->stopped(n->stopped_ud);
 }
 
-/* Everything is answered and the callers have closed; or the bound is reached. Callers that do
- * not understand the notice are given a while after the last answer. */
-static bool may_end(struct en_node *n, int64_t now)
+/* True if all requests are answered and the callers have closed, or the deadline has passed.
+ * Callers that do not understand the notice get LINGER_US after the last answer. */
+static bool may_exit(struct en_node *n, int64_t now)
 {
-    if (now > n->stop_by)
+    if (now > n->stop_deadline)
         return true;
     if (n->px)
         return px_stopped(n->px, now);
     if (n->n_reqs > 0 || n->txns)
-        n->quiet_since = now;
-    return n->n_callers == 0 || nt_heard_until(n->loop) - n->quiet_since > LINGER_US;
+        n->idle_since = now;
+    return n->n_callers == 0 || nt_heard_until(n->loop) - n->idle_since > LINGER_US;
 }
 
-/* A group that is held elsewhere rests once its connections are closed: hundreds of them are
- * not looked at in every tick. */
+/* A group that other nodes hold becomes idle once its connections are closed, so that ticks
+ * skip the hundreds of such groups. */
 static void group_tick(struct en_group *g, int64_t now)
 {
-    g->rests = !g->held;
+    g->idle = !g->held;
     for (int i = 0; i < g->cfg.n; i++) {
         struct en_inst *in = g->inst[i];
-        if (en_inst_rests(in))
+        if (en_inst_idle(in))
             continue;
-        g->rests = false;
+        g->idle = false;
         en_pool_tick(in, now);
-        en_pump(in);
+        en_inst_dispatch(in);
     }
 }
 
@@ -278,24 +281,25 @@
     en_links_tick(n, now);
     if (n->s->observer)
         en_observer_tick(n);
-    en_sweep(n, now);
-    en_txn_sweep(n);
+    en_expire_requests(n, now);
+    en_txns_expire(n);
     if (n->px)
         px_tick(n->px, now);
     for (int g = 0; g < n->n_groups; g++) {
         struct en_group *group = n->groups[g];
         drain_tick(group);
-        if (!group->rests)
+        if (!group->idle)
             group_tick(group, now);
     }
     en_ack_view(n);
-    if (n->stopping && may_end(n, now)) {
-        /* Whoever came while the lease goes back would be cut off with its first request. */
+    if (n->stopping && may_exit(n, now)) {
+        /* A caller that connects during the lease release would lose its connection with its
+         * first request in flight. */
         nt_refuse_new(n->listener);
         if (n->px)
             px_refuse_new(n->px);
-        en_give_back(n);
-        nt_timer_set(n->loop, &n->tick, FLUSH_US, stopped, n);
+        en_release_lease(n);
+        nt_timer_set(n->loop, &n->tick, FLUSH_US, on_flushed, n);
         return;
     }
     nt_timer_set(n->loop, &n->tick, TICK_US, tick, n);
@@ -308,14 +312,14 @@
     n->stopping = true;
     n->stopped = done;
     n->stopped_ud = ud;
-    n->stop_by = ck_now() + CK_MS(n->s->stop_ms);
-    n->quiet_since = ck_now();
+    n->stop_deadline = ck_now() + CK_MS(n->s->stop_ms);
+    n->idle_since = ck_now();
     if (n->s->off_finish)
-        n->stop_by = 0;
-    en_callers_notice(n);
+        n->stop_deadline = 0;
+    en_callers_notify_stop(n);
     if (n->px)
         px_stop(n->px, ck_now());
-    n->next_renew = ck_now(); /* others are to hold its groups from now on */
+    n->next_renew_at = ck_now(); /* tells control now, so that other nodes hold the groups */
     tl_add(n->tl, TL_STOP, "", 0, "planned stop, %d requests to finish", n->n_reqs);
     FL_INFO(&n->log, "stopping: %d requests to finish", n->n_reqs);
 }
@@ -325,9 +329,9 @@
     return en_leased(ud);
 }
 
-static void host_suspect(void *ud, const char *inst, enum wr_health health)
+static void host_report_inst(void *ud, const char *inst, enum wr_health health)
 {
-    en_tell_suspicion(ud, inst, health);
+    en_send_suspicion(ud, inst, health);
 }
 
 static bool start_proxy(struct en_node *n, struct er_err *err)
@@ -335,8 +339,9 @@
     const struct st_settings *s = n->s;
     if (!s->sessions.port)
         return true;
-    if (!n->outside)
-        return er_set(err, ER_CONFIG, "entry.sessions needs an interface that speaks lines");
+    if (!n->interface)
+        return er_set(err, ER_CONFIG,
+                      "entry.sessions needs the interface of an outside platform");
     struct px_config cfg = {.name = s->name,
                             .domain = s->domain,
                             .ip = s->sessions.ip,
@@ -344,15 +349,15 @@
                             .max_sessions = s->max_callers,
                             .grace_us = CK_MS(s->grace_ms ? s->grace_ms : s->stop_ms),
                             .seed = n->id,
-                            .codec = n->outside->sessions,
-                            .documents = n->outside->documents,
-                            .host = {host_leased, host_suspect, n}};
+                            .codec = n->interface->sessions,
+                            .documents = n->interface->documents,
+                            .host = {host_leased, host_report_inst, n}};
     n->px = px_create(n->loop, &cfg, err);
     return n->px != NULL;
 }
 
 struct en_node *en_create(struct nt_loop *l, const struct st_settings *s, struct tl_ring *tl,
-                          const struct en_interface *outside, struct er_err *err)
+                          const struct en_interface *interface, struct er_err *err)
 {
     struct en_node *n = sr_alloc(sizeof(*n));
     n->log.prefix = "entry";
@@ -364,11 +369,11 @@
     randombytes_buf(&n->id, sizeof(n->id));
     n->id |= 1;
     n->rng = rn_seed(n->id);
-    n->outside = outside;
+    n->interface = interface;
     n->lease_lost_at = INT64_MIN / 2;
     if (s->secret[0])
         ss_key_from(&n->key, sr_from(s->secret));
-    else /* sessions carry no tokens: nobody has to read this one's */
+    else /* sessions carry no tokens, so no other node has to read this node's tokens */
         randombytes_buf(&n->key, sizeof(n->key));
     vw_init(&n->view);
     en_links_start(n);
--- a/entry/txn.c
+++ b/entry/txn.c
@@ -1,10 +1,11 @@
-/* Transactions: pinned to one endpoint connection, owned by one caller. */
+/* Transactions. Each is pinned to one endpoint connection and belongs to one caller's
+ * connection. */
 #include <stdlib.h>
 
 #include "entry/entry.h"
 #include "misc/clock.h"
 
-static struct en_txn *find(struct en_caller *c, const char *name)
+static struct en_txn *find_txn(struct en_caller *c, const char *name)
 {
     for (struct en_txn *t = c->node->txns; t; t = t->next) {
         if (t->caller == c && strcmp(t->name, name) == 0)
@@ -22,15 +23,16 @@
         *at = t->next;
 }
 
-/* Give the connection back: after a confirmed end, or by a rollback whose answer is awaited. */
-static void let_go(struct en_ep *ep, bool rollback)
+/* Unpins the connection. With `rollback` the connection is free only after the reply to a
+ * rollback, or is closed; otherwise the end of the transaction is confirmed already. */
+static void unpin(struct en_ep *ep, bool rollback)
 {
     ep->txn = NULL;
     if (!rollback)
         return;
     struct ep_request q = {.op = EP_ROLLBACK};
     if (ep->req_id) {
-        en_ep_close(ep); /* a statement is at work: closing rolls back */
+        en_ep_close(ep); /* a statement is running: closing rolls back */
         return;
     }
     ep->rolling_back = true;
@@ -42,7 +44,7 @@
 {
     struct en_node *n = t->caller->node;
     if (t->ep)
-        let_go(t->ep, rollback);
+        unpin(t->ep, rollback);
     for (struct en_req *r = n->reqs; r; r = r->next) {
         if (r->txn == t)
             r->txn = NULL;
@@ -56,7 +58,7 @@
     t->ep = NULL;
 }
 
-void en_txn_drop(struct en_group *g)
+void en_txns_drop(struct en_group *g)
 {
     for (struct en_txn *t = g->node->txns; t; t = t->next) {
         if (t->group == g && t->ep)
@@ -82,7 +84,7 @@
     t->group = r->group;
     t->ep = ep;
     t->term = r->term;
-    t->used = ck_now();
+    t->last_used = ck_now();
     t->next = n->txns;
     n->txns = t;
     ep->txn = t;
@@ -94,11 +96,11 @@
 static void send_statement(struct en_req *r, struct en_txn *t)
 {
     char claim[CL_ACCOUNT + CL_ID + 2];
-    struct ep_request q = {.stmt = sr_from(r->r.stmt), .term = t->term, .txn = true};
+    struct ep_request q = {.stmt = sr_from(r->req.stmt), .term = t->term, .txn = true};
     static const enum ep_op ops[] = {EP_READ, EP_WRITE, EP_BEGIN, EP_COMMIT, EP_ROLLBACK};
-    q.op = ops[r->r.kind];
-    if (r->r.kind == CL_COMMIT && !r->r.repeat_safe && r->caller->node->s->claims) {
-        snprintf(claim, sizeof(claim), "%s:%s", r->r.account, r->r.id);
+    q.op = ops[r->req.kind];
+    if (r->req.kind == CL_COMMIT && !r->req.repeat_safe && r->caller->node->s->claims) {
+        snprintf(claim, sizeof(claim), "%s:%s", r->req.account, r->req.id);
         q.claim = sr_from(claim);
     }
     r->term = t->term;
@@ -106,27 +108,27 @@
     r->at_primary = true;
     r->txn = t;
     t->busy = true;
-    t->used = ck_now();
+    t->last_used = ck_now();
     if (!en_ep_send(t->ep, r, &q)) {
         r->state = EN_NEW;
-        en_fail(r, ER_BAD_TXN, 0, "the transaction's connection is gone; it is rolled back");
+        en_fail(r, ER_BAD_TXN, 0, "the transaction's connection was lost; it is rolled back");
     }
 }
 
 void en_txn_request(struct en_req *r)
 {
-    struct en_txn *t = find(r->caller, r->r.txn);
+    struct en_txn *t = find_txn(r->caller, r->req.txn);
     if (!t || t->group != r->group) {
         en_fail(r, ER_BAD_TXN, 0, "no such transaction on this connection");
         return;
     }
-    if (r->r.kind == CL_BEGIN) {
-        en_fail(r, ER_BAD_TXN, 0, "a transaction is open already");
+    if (r->req.kind == CL_BEGIN) {
+        en_fail(r, ER_BAD_TXN, 0, "a transaction is already open");
         return;
     }
-    bool live = t->ep && !t->ep->closing && en_leased(r->group->node) &&
-                t->term == r->group->serve_term;
-    if (!live) {
+    bool usable = t->ep && !t->ep->closing && en_leased(r->group->node) &&
+                  t->term == r->group->serve_term;
+    if (!usable) {
         en_txn_end(t, true);
         en_fail(r, ER_BAD_TXN, 0, "the transaction was lost and rolled back");
         return;
@@ -153,11 +155,11 @@
     en_fail(r, ER_BAD_TXN, 0, "the transaction was lost and rolled back");
 }
 
-static void answer_inside(struct en_req *r)
+static void answer_in_txn(struct en_req *r)
 {
     struct cl_answer a = {.value = {r->value.p ? r->value.p : "", r->value.len},
-                          .token = r->r.token,
-                          .txn = r->r.kind == CL_BEGIN ? r->txn->name : NULL,
+                          .token = r->req.token,
+                          .txn = r->req.kind == CL_BEGIN ? r->txn->name : NULL,
                           .served_by = r->inst->cfg.id,
                           .durable = true};
     en_answer(r, &a);
@@ -166,7 +168,7 @@
 void en_txn_reply(struct en_req *r, struct en_ep *ep, const struct ep_reply *rep)
 {
     struct en_node *n = r->caller->node;
-    if (r->r.kind == CL_BEGIN && rep->result == EP_REFUSED) {
+    if (r->req.kind == CL_BEGIN && rep->result == EP_REFUSED) {
         r->state = EN_NEW;
         en_route(r);
         return;
@@ -177,15 +179,15 @@
     }
     sr_buf_add(&r->value, rep->value.p, rep->value.len);
     r->state = EN_NEW;
-    switch (r->r.kind) {
+    switch (r->req.kind) {
     case CL_BEGIN:
         if (!r->caller->net) {
-            en_ep_close(ep); /* its caller is gone */
+            en_ep_close(ep); /* the caller has disconnected */
             en_fail(r, ER_LOST, 0, NULL);
             return;
         }
         en_txn_begun(r, ep);
-        answer_inside(r);
+        answer_in_txn(r);
         return;
     case CL_COMMIT:
         n->c.commits++;
@@ -197,17 +199,17 @@
     case CL_ROLLBACK:
         n->c.rollbacks++;
         en_txn_end(r->txn, false);
-        answer_inside(r);
+        answer_in_txn(r);
         return;
     default:
-        answer_inside(r);
+        answer_in_txn(r);
         return;
     }
 }
 
-/* ---- ends that nobody asked for ---- */
+/* ---- transactions ended without a request ---- */
 
-void en_caller_gone(struct en_caller *c)
+void en_txns_caller_closed(struct en_caller *c)
 {
     struct en_txn *next;
     for (struct en_txn *t = c->node->txns; t; t = next) {
@@ -217,13 +219,13 @@
     }
 }
 
-void en_txn_sweep(struct en_node *n)
+void en_txns_expire(struct en_node *n)
 {
     struct en_txn *next;
-    int64_t heard = nt_heard_until(n->loop);
+    int64_t received_until = nt_heard_until(n->loop);
     for (struct en_txn *t = n->txns; t; t = next) {
         next = t->next;
-        if (!t->busy && heard - t->used > CK_MS(n->s->txn_idle_ms))
+        if (!t->busy && received_until - t->last_used > CK_MS(n->s->txn_idle_ms))
             en_txn_end(t, true);
     }
 }
