--- a/quorum/core.h
+++ b/quorum/core.h
@@ -16,7 +16,7 @@
     bool granted; /* the peer granted its vote or pre-vote */
     /* The peer has seen no leader since it started, and this node precedes it as the one that
      * requests votes. */
-    bool fresh;
+    bool no_leader_seen;
 };
 
 /* A disk write that is not confirmed yet. */
--- a/quorum/elect.c
+++ b/quorum/elect.c
@@ -78,7 +78,8 @@
                            .index = qc_last_index(q),
                            .log_term = qc_last_term(q),
                            .transfer = q->transfer,
-                           .fresh = type == QR_VOTE ? q->cold_start : seen_no_leader(q)};
+                           .no_leader_seen =
+                               type == QR_VOTE ? q->cold_start : seen_no_leader(q)};
         qc_send(q, &m);
     }
 }
@@ -186,7 +187,7 @@
     for (int i = 0; i < q->n_peers; i++) {
         bool voter = qr_is_voter(q, q->peers[i].id);
         voters += voter;
-        fresh += voter && q->peers[i].fresh;
+        fresh += voter && q->peers[i].no_leader_seen;
     }
     return fresh >= (q->cfg.fault.some_fresh ? qc_quorum_size(q) : voters);
 }
@@ -197,7 +198,7 @@
 static void schedule_prevote(struct qr *q, const struct qr_msg *m, int64_t now)
 {
     enum { PARTS = 16 }; /* rounds of pre-votes are at least election_us / 16 apart */
-    bool precedes = m->fresh && seen_no_leader(q) && precedes_sender(q, m);
+    bool precedes = m->no_leader_seen && seen_no_leader(q) && precedes_sender(q, m);
     int64_t at = q->prevotes_sent + q->cfg.election_us / PARTS;
     if (at < now)
         at = now;
@@ -210,7 +211,7 @@
     struct qr_msg r = {.type = QR_PREVOTE_R, .to = m->from};
     r.ok = m->term > q->term && log_up_to_date(q, m) && !leader_is_recent(q, now);
     r.round = m->term;
-    r.fresh = seen_no_leader(q);
+    r.no_leader_seen = seen_no_leader(q);
     r.index = qc_last_index(q);
     r.log_term = qc_last_term(q);
     qc_send(q, &r);
@@ -227,7 +228,7 @@
     if (q->role != QR_PRECANDIDATE || !p || m->round != q->term + 1)
         return;
     p->granted = p->granted || m->ok;
-    p->fresh = m->fresh && m->term == q->term && precedes_sender(q, m);
+    p->no_leader_seen = m->no_leader_seen && m->term == q->term && precedes_sender(q, m);
     q->cold_start = no_leader_left(q);
     if (q->cold_start || qc_votes(q) >= qc_quorum_size(q))
         qc_become_candidate(q, now);
@@ -235,7 +236,7 @@
 
 void qc_on_vote(struct qr *q, const struct qr_msg *m, int64_t now)
 {
-    bool cold_start = m->fresh && seen_no_leader(q);
+    bool cold_start = m->no_leader_seen && seen_no_leader(q);
     if (!m->transfer && !cold_start && leader_is_recent(q, now))
         return;
     if (m->term > q->term)
--- a/quorum/quorum.h
+++ b/quorum/quorum.h
@@ -74,7 +74,7 @@
     bool transfer;  /* vote request of a leadership transfer */
     /* In a pre-vote and its reply: the sender has seen no leader since it started. In a vote
      * request: all voters reported so. */
-    bool fresh;
+    bool no_leader_seen;
     uint32_t n;
     const struct qr_entry *entries;
     const struct qr_members *members; /* QR_SNAP */
--- a/tests/unit/test_quorum.c
+++ b/tests/unit/test_quorum.c
@@ -362,7 +362,8 @@
     struct qr_msg beat = {.type = QR_APPEND, .from = 3, .to = 1, .term = 3};
     if (heard)
         qr_receive(q, &beat, CK_MS(5));
-    struct qr_msg ask = {.type = QR_VOTE, .from = 2, .to = 1, .term = 4, .fresh = true};
+    struct qr_msg ask = {
+        .type = QR_VOTE, .from = 2, .to = 1, .term = 4, .no_leader_seen = true};
     qr_receive(q, &ask, CK_MS(10));
     qr_persisted(q, last_seq, CK_MS(10));
     bool vote = n_sent > 0 && sent[n_sent - 1].type == QR_VOTE_R && sent[n_sent - 1].ok;
@@ -386,7 +387,8 @@
     qr_tick(q, CK_MS(65), CK_MS(65)); /* a quarter of an election's time: it asks */
     CU_ASSERT_TRUE(n_sent == 2 && sent[0].type == QR_PREVOTE);
     for (int i = 0; i < answers; i++) {
-        struct qr_msg m = {.type = QR_PREVOTE_R, .to = 1, .term = 3, .round = 4, .fresh = true};
+        struct qr_msg m = {
+            .type = QR_PREVOTE_R, .to = 1, .term = 3, .round = 4, .no_leader_seen = true};
         if (i == answers - 1)
             m = last;
         m.from = (uint64_t)i + 2;
@@ -400,11 +402,12 @@
 /* After a loss of all power nobody waits for a leader's silence: none is left. */
 static void voters_that_all_start_elect_at_once(void)
 {
-    struct qr_msg says = {.type = QR_PREVOTE_R, .to = 1, .term = 3, .round = 4, .fresh = true};
+    struct qr_msg says = {
+        .type = QR_PREVOTE_R, .to = 1, .term = 3, .round = 4, .no_leader_seen = true};
     CU_ASSERT_TRUE(asks_cold(2, says));
     CU_ASSERT_FALSE(asks_cold(1, says)); /* the third may lead */
     struct qr_msg met = says, newer = says, longer = says;
-    met.fresh = false;
+    met.no_leader_seen = false;
     CU_ASSERT_FALSE(asks_cold(2, met));
     newer.term = 2; /* it may have come to lead a term that was not asked about */
     CU_ASSERT_FALSE(asks_cold(2, newer));
--- a/wire/decode.c
+++ b/wire/decode.c
@@ -179,7 +179,7 @@
     struct sr_str s = get_s(r);
     m->data = s.p;
     m->len = (uint32_t)s.len;
-    m->fresh = get_b(r);
+    m->no_leader_seen = get_b(r);
 }
 
 static struct wr_share *get_shares(struct rd *r, uint32_t *n)
--- a/wire/encode.c
+++ b/wire/encode.c
@@ -95,7 +95,7 @@
 
 static void put_quorum(msgpack_packer *pk, const struct qr_msg *m)
 {
-    head(pk, WR_QUORUM, m->fresh ? 14 : 13); /* absent: it is not */
+    head(pk, WR_QUORUM, m->no_leader_seen ? 14 : 13); /* absent: it is not */
     put_u(pk, m->type);
     put_u(pk, m->from);
     put_u(pk, m->to);
@@ -111,7 +111,7 @@
         put_entry(pk, &m->entries[i]);
     put_members(pk, m->members);
     put_s(pk, (struct sr_str){m->data ? m->data : "", m->len});
-    if (m->fresh)
+    if (m->no_leader_seen)
         put_b(pk, true);
 }
 
