--- a/catalog/catalog.c
+++ b/catalog/catalog.c
@@ -67,9 +67,9 @@
 {
     if (!r->database[0])
         return er_set(err, ER_BAD_INPUT, "route %.60s: database is missing", r->name);
-    if (r->limit_us <= 0)
+    if (r->timeout_us <= 0)
         return er_set(err, ER_BAD_INPUT, "route %.60s: timeout %lld us, expected above 0",
-                      r->name, (long long)r->limit_us);
+                      r->name, (long long)r->timeout_us);
     if (!has_service(t, r->group))
         return er_set(err, ER_BAD_INPUT, "route %.60s: unknown service %s", r->name, r->group);
     if (previous && compare_routes(previous, r) == 0)
--- a/catalog/catalog.h
+++ b/catalog/catalog.h
@@ -31,8 +31,8 @@
     char group[VW_NAME];    /* the group of instances that stores the database */
     enum cg_reads reads;
     int64_t max_age_us; /* for CG_BOUNDED and CG_SESSION */
-    int64_t limit_us;   /* maximum duration of a statement; above 0 */
-    int64_t aim_us;     /* target latency of an operation */
+    int64_t timeout_us; /* maximum duration of a statement; above 0 */
+    int64_t target_us;  /* target latency of an operation */
     int priority;       /* 0 is served first */
     int attempts;       /* maximum number of instances that a statement is offered to */
     bool open_to_all;   /* callers need no key for this database */
--- a/proxy/pool.c
+++ b/proxy/pool.c
@@ -104,7 +104,7 @@
 {
     if (a->route.priority != b->route.priority)
         return a->route.priority < b->route.priority;
-    return a->arrived + a->route.aim_us < b->arrived + b->route.aim_us;
+    return a->arrived + a->route.target_us < b->arrived + b->route.target_us;
 }
 
 static void enqueue(struct px_inst *in, struct px_session *s)
--- a/proxy/relay.c
+++ b/proxy/relay.c
@@ -476,7 +476,7 @@
 static int64_t longest_wait(const struct px_session *s)
 {
     const struct cg_route *route = cg_route(&s->p->catalog, sr_from(s->database));
-    return route ? route->limit_us : 0;
+    return route ? route->timeout_us : 0;
 }
 
 /* The session is at a node that is silent. */
--- a/proxy/work.c
+++ b/proxy/work.c
@@ -33,7 +33,7 @@
 {
     struct px_proxy *p = s->p;
     s->arrived = s->part_since = ck_now();
-    s->deadline = s->arrived + s->route.limit_us;
+    s->deadline = s->arrived + s->route.timeout_us;
     s->attempts = s->offers = 0;
     s->skip = 0;
     s->kind = px_pace_kind(sr_from(s->database), s->writes);
@@ -186,7 +186,7 @@
 
 static int64_t patience(const struct px_session *s)
 {
-    int64_t by_aim = s->route.aim_us * HEDGE_PERCENT / 100;
+    int64_t by_aim = s->route.target_us * HEDGE_PERCENT / 100;
     int64_t by_pace = s->inst->service_us * HEDGE_TIMES;
     return by_aim > by_pace ? by_aim : by_pace;
 }
@@ -208,7 +208,7 @@
 
 static int64_t longest_wait(const struct px_session *s)
 {
-    int64_t us = s->route.aim_us * WAIT_PERCENT / 100;
+    int64_t us = s->route.target_us * WAIT_PERCENT / 100;
     return us > LEAST_WAIT_US ? us : LEAST_WAIT_US;
 }
 
--- a/tests/unit/test_lines.c
+++ b/tests/unit/test_lines.c
@@ -175,7 +175,7 @@
     CU_ASSERT_TRUE(reads(DOCUMENT("7", ROUTE, SERVICE), &c));
     const struct cg_route *r = cg_route(&c, SR_LIT("h"));
     CU_ASSERT_PTR_NOT_NULL_FATAL(r);
-    CU_ASSERT_TRUE(r->reads == CG_SESSION && r->limit_us == 800000 && r->aim_us == 250000);
+    CU_ASSERT_TRUE(r->reads == CG_SESSION && r->timeout_us == 800000 && r->target_us == 250000);
     CU_ASSERT_TRUE(r->max_age_us == 2500000 && r->attempts == 2 && r->priority == 2);
     CU_ASSERT_TRUE(c.version == 7 && c.txn_idle_us == 3000000);
     CU_ASSERT_EQUAL(cg_service(&c, "s")->sync_copies, 1);
--- a/tests/unit/test_member.c
+++ b/tests/unit/test_member.c
@@ -231,7 +231,7 @@
     for (int i = 0; i < 2; i++) {
         strcpy(c.routes[i].database, i ? "alpha" : "beta");
         strcpy(c.routes[i].group, "reg");
-        c.routes[i].limit_us = 1;
+        c.routes[i].timeout_us = 1;
     }
     return c;
 }
@@ -263,7 +263,7 @@
     strcpy(c.routes[1].group, "other");
     CU_ASSERT_FALSE(good(c));
     c = two_routes();
-    c.routes[0].limit_us = 0;
+    c.routes[0].timeout_us = 0;
     CU_ASSERT_FALSE(good(c));
     c = two_routes();
     c.version = 0;
