--- a/limit/limit.h
+++ b/limit/limit.h
@@ -170,15 +170,15 @@
 int64_t lm_retry_us(const struct lm_pool *s, int64_t now);
 /* Charges a permit for a second attempt of an admitted operation. The attempt does not wait for
  * a permit. */
-void lm_extra(struct lm_pool *s);
+void lm_charge_retry(struct lm_pool *s);
 /* Fills the report for the next renewal, giving back permits that are too many. Returns false
  * if there is nothing to report. */
 bool lm_make_report(struct lm_pool *s, int64_t now, struct lm_report *out);
 void lm_apply_grant(struct lm_pool *s, const struct lm_grant *a, int64_t now);
 /* The permits of the node have expired. */
-void lm_void(struct lm_pool *s);
+void lm_expire(struct lm_pool *s);
 /* Called for a new leader, which does not know the permits of this node: the next
  * lm_make_report reports them in any case. */
-void lm_tell_anew(struct lm_pool *s);
+void lm_forget_reported(struct lm_pool *s);
 
 #endif
--- a/limit/stock.c
+++ b/limit/stock.c
@@ -115,7 +115,7 @@
     return now < s->scarce_until && us < SCARCE_RETRY_US ? SCARCE_RETRY_US : us;
 }
 
-void lm_extra(struct lm_pool *s)
+void lm_charge_retry(struct lm_pool *s)
 {
     s->held--;
 }
@@ -157,13 +157,13 @@
     s->n_requested = 0;
 }
 
-void lm_void(struct lm_pool *s)
+void lm_expire(struct lm_pool *s)
 {
     if (s->held > 0)
         s->held = 0;
 }
 
-void lm_tell_anew(struct lm_pool *s)
+void lm_forget_reported(struct lm_pool *s)
 {
     s->reported_held = -1;
 }
--- a/proxy/limits.c
+++ b/proxy/limits.c
@@ -32,7 +32,7 @@
 static void throw_away(struct px_proxy *p)
 {
     for (int i = 0; i < p->n_accounts; i++)
-        lm_void(&p->accounts[i].stock);
+        lm_expire(&p->accounts[i].stock);
 }
 
 static void end_if_due(struct px_proxy *p, int64_t now)
@@ -82,7 +82,7 @@
 void px_permit_again(struct px_session *s)
 {
     if (s->permit == PX_P_HAS)
-        lm_extra(&account_of(s->p, s->account)->stock);
+        lm_charge_retry(&account_of(s->p, s->account)->stock);
 }
 
 void px_permit_refuse(struct px_session *s)
@@ -111,7 +111,7 @@
         if (!has_limit(p, a->name))
             continue;
         if (p->permits_untold)
-            lm_tell_anew(&a->stock);
+            lm_forget_reported(&a->stock);
         if (lm_make_report(&a->stock, ck_now(), &m))
             out[r->n_permits++] = (struct wr_permit_ask){
                 sr_from(a->name), (uint32_t)m.held, (uint32_t)m.want, (uint32_t)m.returned};
--- a/tests/unit/test_limit.c
+++ b/tests/unit/test_limit.c
@@ -153,10 +153,10 @@
     if (!m)
         return;
     if (w.now >= n->until && w.without != VOIDING)
-        lm_void(&n->stock);
+        lm_expire(&n->stock);
     m->all = n->untold;
     if (n->untold && w.without != TELLING)
-        lm_tell_anew(&n->stock);
+        lm_forget_reported(&n->stock);
     n->untold = false;
     m->reign = n->reign;
     m->sent = w.now;
@@ -193,7 +193,7 @@
     n->has = m->seq;
     n->untold = !m->knows;
     if (w.now >= n->until && w.without != VOIDING)
-        lm_void(&n->stock);
+        lm_expire(&n->stock);
     int64_t until = m->sent + LM_LIFE_US;
     if (n->untold || until <= w.now)
         return;
@@ -254,7 +254,7 @@
             continue;
         count(w.now + (w.exact ? 0 : (int64_t)rn_below(&w.rng, LATE_US / 10)));
         if (!w.exact && rn_below(&w.rng, 20) == 0) { /* its answer was lost: it runs again */
-            lm_extra(&n->stock);
+            lm_charge_retry(&n->stock);
             count(w.now + (int64_t)rn_below(&w.rng, LATE_US / 10));
         }
     }
