--- a/limit/limit.h
+++ b/limit/limit.h
@@ -127,9 +127,9 @@
 /* ---- pool: a node where operations begin ---- */
 
 enum lm_verdict {
-    LM_GO,   /* a permit was taken */
-    LM_WAIT, /* the node has no permit; one is requested from the leader */
-    LM_OVER, /* the account is over its limit */
+    LM_ADMIT,  /* a permit was taken */
+    LM_WAIT,   /* the node has no permit; one is requested from the leader */
+    LM_REFUSE, /* the account is over its limit */
 };
 
 /* Classes of operations in the order in which they are served: priority 0, 1, and all others.
--- a/limit/stock.c
+++ b/limit/stock.c
@@ -87,7 +87,7 @@
 {
     bool pause = now < s->over_until;
     if (pause && (s->over_until - now > SHORT_PAUSE_US || !is_first_class(s, class, now)))
-        return LM_OVER;
+        return LM_REFUSE;
     if (!pause)
         s->waiting++;
     return LM_WAIT;
@@ -102,10 +102,10 @@
         s->held--;
         s->demand[class].n_refused = 0;
         note_operation(s, now);
-        return LM_GO;
+        return LM_ADMIT;
     }
-    enum lm_verdict v = s->held > 0 ? LM_OVER : verdict_without_permit(s, class, now);
-    s->demand[class].n_refused += v == LM_OVER;
+    enum lm_verdict v = s->held > 0 ? LM_REFUSE : verdict_without_permit(s, class, now);
+    s->demand[class].n_refused += v == LM_REFUSE;
     return v;
 }
 
--- a/proxy/limits.c
+++ b/proxy/limits.c
@@ -65,11 +65,11 @@
 enum lm_verdict px_permit_take(struct px_session *s)
 {
     if (s->permit != PX_P_DUE)
-        return LM_GO;
+        return LM_ADMIT;
     end_if_due(s->p, ck_now());
     struct px_account *a = account_of(s->p, s->account);
     enum lm_verdict v = lm_take(&a->stock, s->route.priority, ck_now());
-    if (v == LM_GO) {
+    if (v == LM_ADMIT) {
         s->permit = PX_P_HAS;
         px_part_done(s, PX_T_PERMIT);
         a->begun++;
--- a/proxy/statement.c
+++ b/proxy/statement.c
@@ -42,7 +42,7 @@
         return;
     px_permit_begin(s);
     s->part_since = ck_now();
-    if (px_permit_take(s) == LM_OVER) {
+    if (px_permit_take(s) == LM_REFUSE) {
         s->arrived = ck_now();
         px_permit_refuse(s);
         return;
--- a/proxy/work.c
+++ b/proxy/work.c
@@ -142,7 +142,7 @@
 {
     int64_t now = ck_now();
     enum lm_verdict permit = px_permit_take(s);
-    if (permit == LM_OVER) {
+    if (permit == LM_REFUSE) {
         px_permit_refuse(s);
         return;
     }
--- a/tests/unit/test_limit.c
+++ b/tests/unit/test_limit.c
@@ -248,9 +248,9 @@
         if (w.now >= n->until && w.without != VOIDING)
             return;
         enum lm_verdict v = lm_take(&n->stock, 0, w.now);
-        w.refused += v == LM_OVER;
+        w.refused += v == LM_REFUSE;
         w.waited += v == LM_WAIT;
-        if (v != LM_GO)
+        if (v != LM_ADMIT)
             continue;
         count(w.now + (w.exact ? 0 : (int64_t)rn_below(&w.rng, LATE_US / 10)));
         if (!w.exact && rn_below(&w.rng, 20) == 0) { /* its answer was lost: it runs again */
@@ -437,7 +437,7 @@
             bool counts = t >= CK_SEC(WARM); /* its bucket is empty at first */
             bool op = (double)rn_below(&rng, 1000000) < per_s / nodes * TICK_US;
             bool renews = (t / TICK_US + k) % 200 == 0;
-            enum lm_verdict v = op ? lm_take(&stock[k], 0, now) : LM_GO;
+            enum lm_verdict v = op ? lm_take(&stock[k], 0, now) : LM_ADMIT;
             struct lm_report r;
             struct lm_grant a;
             if (renews || v == LM_WAIT) {
@@ -450,7 +450,7 @@
             if (v == LM_WAIT)
                 v = lm_take(&stock[k], 0, now);
             asked += counts && op;
-            refused += counts && op && v == LM_OVER;
+            refused += counts && op && v == LM_REFUSE;
             again += counts && op && v == LM_WAIT;
         }
     }
--- a/tests/unit/test_permits.c
+++ b/tests/unit/test_permits.c
@@ -40,7 +40,7 @@
         asked += ms * ASKED / 1000 > (ms - 1) * ASKED / 1000;
         struct lm_report r;
         struct lm_grant a;
-        while (served < asked && lm_take(&stock, 0, now) == LM_GO)
+        while (served < asked && lm_take(&stock, 0, now) == LM_ADMIT)
             served++;
         lm_renewed(&g, NODE, true, now);
         if (!lm_make_report(&stock, now, &r))
@@ -82,10 +82,10 @@
         if (k > (ms - 1) * ASKED / 1000) {
             enum lm_verdict v = lm_take(&stock, priority, now);
             asked[priority]++;
-            begun[priority] += v == LM_GO;
+            begun[priority] += v == LM_ADMIT;
             waits += priority == 0 && v == LM_WAIT;
         }
-        while (ms % LOOK_MS == 0 && waits > 0 && lm_take(&stock, 0, now) == LM_GO) {
+        while (ms % LOOK_MS == 0 && waits > 0 && lm_take(&stock, 0, now) == LM_ADMIT) {
             begun[0]++;
             waits--;
         }
