--- a/limit/giver.c
+++ b/limit/giver.c
@@ -30,7 +30,7 @@
     lm_free(g);
     g->tolerance = *t;
     g->leader_since = now;
-    g->earlier_permits_until = first ? now : now + with_drift(LM_LIFE_US);
+    g->earlier_permits_until = first ? now : now + with_drift(LM_PERMIT_LIFE_US);
 }
 
 void lm_free(struct lm_allocator *g)
@@ -79,7 +79,7 @@
     struct lm_lease *l = lease_of(g, node);
     if (!l)
         l = alloc_lease(g, now);
-    *l = (struct lm_lease){node, stays ? now + with_drift(LM_LIFE_US) : now};
+    *l = (struct lm_lease){node, stays ? now + with_drift(LM_PERMIT_LIFE_US) : now};
 }
 
 /* ---- the bucket ---- */
@@ -131,8 +131,8 @@
 static double startup_bound(const struct lm_allocator *g, const struct lm_account *a,
                             int64_t now)
 {
-    double left = full_depth(g, a) * (1 - LM_OUT_PART);
-    return left * (double)(now - g->leader_since) / (double)with_drift(LM_LIFE_US);
+    double left = full_depth(g, a) * (1 - LM_OUTSTANDING_PART);
+    return left * (double)(now - g->leader_since) / (double)with_drift(LM_PERMIT_LIFE_US);
 }
 
 static double own_outstanding(const struct lm_account *a)
@@ -236,8 +236,8 @@
     if (need < 1)
         return;
     double max_unused = depth(g, a, now);
-    double more = floor(max_unused * LM_STOCK_PART - outstanding);
-    if (more < 1 && outstanding + 1 <= max_unused * LM_OUT_PART)
+    double more = floor(max_unused * LM_PREFETCH_PART - outstanding);
+    if (more < 1 && outstanding + 1 <= max_unused * LM_OUTSTANDING_PART)
         more = 1;
     double k = fmin(floor(need), fmin(floor(a->level), fmax(more, 0)));
     if (k >= 1) {
--- a/limit/limit.h
+++ b/limit/limit.h
@@ -8,14 +8,14 @@
  * - Permits that are not used yet are either in the account's bucket at the leader or
  *   outstanding, at nodes. Together they are at most the depth of the bucket, and new permits
  *   are added at a steady refill rate. An outstanding permit is counted until its holder
- *   reports it as used, or until the holder has not renewed it for LM_LIFE_US: then the permit
- *   expires.
+ *   reports it as used, or until the holder has not renewed it for LM_PERMIT_LIFE_US: then the
+ * permit expires.
  * - A new leader does not know the permits that earlier leaders granted. They are at most
- *   LM_OUT_PART of the depth. Until they have expired, the bucket, which is empty at first,
- *   fills at the account's rate, but the bound on the unused permits of the new leader grows so
- *   slowly that these, together with those of any leader that led for a moment before it, are
- *   never more than the rest of the depth. Permits that are reported as used make room for
- *   others.
+ *   LM_OUTSTANDING_PART of the depth. Until they have expired, the bucket, which is empty at
+ * first, fills at the account's rate, but the bound on the unused permits of the new leader
+ * grows so slowly that these, together with those of any leader that led for a moment before
+ * it, are never more than the rest of the depth. Permits that are reported as used make room
+ * for others.
  * - So the operations that begin in any window are at most depth + refill rate x window. Depth
  *   and refill rate are chosen so that this is rate x window + burst + four fifths of the
  *   tolerance. */
@@ -30,18 +30,18 @@
 
 enum {
     LM_NAME = IX_NAME,
-    LM_MOST = 1000000, /* maximum number of permits in a message */
+    LM_MAX_PERMITS = 1000000, /* maximum number of permits in a message */
     /* Permits expire this long after the last renewal that was answered. It is the duration of
      * the platform's lease. A lost leader is replaced within 0.4 s and a control VM is back
      * after 1.2 to 1.5 s; operations that begin in the meantime use permits that their node
      * has. */
-    LM_LIFE_US = 1200000,
+    LM_PERMIT_LIFE_US = 1200000,
 };
 /* Part of the depth that may be outstanding at most. */
-#define LM_OUT_PART 0.55
+#define LM_OUTSTANDING_PART 0.55
 /* While less than this part of the depth is outstanding, a node gets as many permits as it
  * wants. Above it each grant is one permit, for an operation that waits. */
-#define LM_STOCK_PART 0.45
+#define LM_PREFETCH_PART 0.45
 
 /* How exactly limits are kept: in any window the operations of an account are at most
  * (rate x window + burst) x (1 + overrun) + slack. */
--- a/proxy/limits.c
+++ b/proxy/limits.c
@@ -43,7 +43,7 @@
 
 void px_permits_renewed(struct px_proxy *p, int64_t sent)
 {
-    int64_t now = ck_now(), until = sent + LM_LIFE_US;
+    int64_t now = ck_now(), until = sent + LM_PERMIT_LIFE_US;
     end_if_due(p, now);
     if (until > now && until > p->permits_until)
         p->permits_until = until;
@@ -132,7 +132,7 @@
 
 void px_permits(struct px_proxy *p, int64_t sent, const struct wr_permit *permits, uint32_t n)
 {
-    if (sent + LM_LIFE_US <= ck_now())
+    if (sent + LM_PERMIT_LIFE_US <= ck_now())
         return; /* a VM that was frozen: the leader has forgotten them */
     px_permits_renewed(p, sent);
     for (uint32_t i = 0; i < n; i++) {
--- a/proxy/proxy.h
+++ b/proxy/proxy.h
@@ -63,7 +63,7 @@
  * free. Each call is a renewal that goes out. */
 void px_permit_wants(struct px_proxy *p, struct wr_renew *r);
 /* The leader's answer to a renewal that was sent then; all permits that are here live on for
- * LM_LIFE_US from there. */
+ * LM_PERMIT_LIFE_US from there. */
 void px_permits(struct px_proxy *p, int64_t sent, const struct wr_permit *permits, uint32_t n);
 /* The same without an answer; the leader knows of all permits here. */
 void px_permits_renewed(struct px_proxy *p, int64_t sent);
--- a/tests/unit/test_limit.c
+++ b/tests/unit/test_limit.c
@@ -194,7 +194,7 @@
     n->untold = !m->knows;
     if (w.now >= n->until && w.without != VOIDING)
         lm_expire(&n->stock);
-    int64_t until = m->sent + LM_LIFE_US;
+    int64_t until = m->sent + LM_PERMIT_LIFE_US;
     if (n->untold || until <= w.now)
         return;
     n->until = until > n->until ? until : n->until;
@@ -337,7 +337,7 @@
         const struct mail *m = &w.mail[i];
         const struct node *n = &w.nodes[m->node];
         bool comes = m->used && m->answer && n->id == m->life && n->reign == m->reign &&
-                     m->sent + LM_LIFE_US > w.now;
+                     m->sent + LM_PERMIT_LIFE_US > w.now;
         unused += comes ? m->answered.given : 0;
     }
     double most = depth_of(w.rate, w.burst), old = depth_of(w.old_rate, w.old_burst);
@@ -485,7 +485,7 @@
     lm_renewed(&g, 1, true, CK_SEC(60));
     CU_ASSERT_TRUE(lm_handle_report(&g, "some", 1, &r, 0, 2, CK_SEC(60), &a));
     CU_ASSERT(a.given > 0 && a.given <= bound_of(5, 5, false));
-    CU_ASSERT_EQUAL((int)lm_out(&g, "some", CK_SEC(60) + LM_LIFE_US), a.given);
+    CU_ASSERT_EQUAL((int)lm_out(&g, "some", CK_SEC(60) + LM_PERMIT_LIFE_US), a.given);
     CU_ASSERT_EQUAL((int)lm_out(&g, "some", CK_SEC(62)), 0); /* not renewed, they have ended */
     CU_ASSERT_FALSE(lm_handle_report(&g, "unknown", 1, &r, 0, 3, 1, &a));
     lm_sweep(&g);
--- a/wire/decode.c
+++ b/wire/decode.c
@@ -205,7 +205,7 @@
     for (uint32_t i = 0; i < *n && !r->bad; i++) {
         struct rd one = get_list(&list, 64);
         p[i].account = get_s(&one);
-        p[i].given = get_max(&one, LM_MOST);
+        p[i].given = get_max(&one, LM_MAX_PERMITS);
         p[i].over_ms = get_max(&one, UINT32_MAX);
         r->bad = r->bad || one.bad || list.bad;
     }
@@ -220,9 +220,9 @@
     for (uint32_t i = 0; i < *n && !r->bad; i++) {
         struct rd one = get_list(&list, 64);
         a[i].account = get_s(&one);
-        a[i].held = get_max(&one, LM_MOST);
-        a[i].want = get_max(&one, LM_MOST);
-        a[i].returned = get_max(&one, LM_MOST);
+        a[i].held = get_max(&one, LM_MAX_PERMITS);
+        a[i].want = get_max(&one, LM_MAX_PERMITS);
+        a[i].returned = get_max(&one, LM_MAX_PERMITS);
         r->bad = r->bad || one.bad || list.bad;
     }
     return a;
