--- a/account/account.h
+++ b/account/account.h
@@ -35,7 +35,7 @@
 
 /* A zero-initialized table is that of a document without accounts. */
 struct ac_table {
-    bool given; /* the document lists accounts, so callers need a key */
+    bool listed; /* the document lists accounts, so callers need a key */
     int n;
     struct ac_account *accounts;
     struct ix_index by_name; /* indexes into `accounts` */
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -380,7 +380,7 @@
 /* Whether the document lists accounts. */
 static inline bool px_has_accounts(const struct px_proxy *p)
 {
-    return p->catalog.accounts.given;
+    return p->catalog.accounts.listed;
 }
 
 /* limits.c: accounts' limits */
--- a/tests/unit/test_accounts.c
+++ b/tests/unit/test_accounts.c
@@ -105,7 +105,7 @@
         bool says = ok ? !rows[i].says : rows[i].says && strstr(err.text, rows[i].says);
         if (!says)
             CU_FAIL(rows[i].accounts);
-        CU_ASSERT(!ok || c.accounts.given);
+        CU_ASSERT(!ok || c.accounts.listed);
         if (ok)
             cg_free(&c);
     }
