--- a/quorum/elect.c
+++ b/quorum/elect.c
@@ -208,7 +208,7 @@
 
 void qc_on_prevote(struct qr *q, const struct qr_msg *m, int64_t now)
 {
-    struct qr_msg r = {.type = QR_PREVOTE_R, .to = m->from};
+    struct qr_msg r = {.type = QR_PREVOTE_REPLY, .to = m->from};
     r.ok = m->term > q->term && log_up_to_date(q, m) && !leader_is_recent(q, now);
     r.round = m->term;
     r.no_leader_seen = seen_no_leader(q);
@@ -244,7 +244,7 @@
     bool free_vote = q->vote == 0 || q->vote == m->from;
     bool grant = m->term == q->term && free_vote && log_up_to_date(q, m);
     if (!grant) {
-        struct qr_msg r = {.type = QR_VOTE_R, .to = m->from};
+        struct qr_msg r = {.type = QR_VOTE_REPLY, .to = m->from};
         qc_send(q, &r);
         return;
     }
--- a/quorum/follow.c
+++ b/quorum/follow.c
@@ -9,7 +9,8 @@
 
 void qc_reply_append(struct qr *q, uint64_t to, bool ok, uint64_t match, uint64_t round)
 {
-    struct qr_msg r = {.type = QR_APPEND_R, .to = to, .ok = ok, .index = match, .round = round};
+    struct qr_msg r = {
+        .type = QR_APPEND_REPLY, .to = to, .ok = ok, .index = match, .round = round};
     qc_send(q, &r);
 }
 
--- a/quorum/quorum.c
+++ b/quorum/quorum.c
@@ -23,19 +23,19 @@
     case QR_PREVOTE:
         qc_on_prevote(q, m, now);
         break;
-    case QR_PREVOTE_R:
+    case QR_PREVOTE_REPLY:
         qc_on_prevote_reply(q, m, now);
         break;
     case QR_VOTE:
         qc_on_vote(q, m, now);
         break;
-    case QR_VOTE_R:
+    case QR_VOTE_REPLY:
         qc_on_vote_reply(q, m, now);
         break;
     case QR_APPEND:
         qc_on_append(q, m, now);
         break;
-    case QR_APPEND_R:
+    case QR_APPEND_REPLY:
         qc_on_append_reply(q, m, now);
         break;
     case QR_SNAP:
@@ -91,7 +91,7 @@
         return;
     }
     if (q->vote_reply_to && hard_done) {
-        struct qr_msg r = {.type = QR_VOTE_R, .to = q->vote_reply_to, .ok = true};
+        struct qr_msg r = {.type = QR_VOTE_REPLY, .to = q->vote_reply_to, .ok = true};
         q->vote_reply_to = 0;
         qc_send(q, &r);
     }
--- a/quorum/quorum.h
+++ b/quorum/quorum.h
@@ -54,11 +54,11 @@
 
 enum qr_msg_type {
     QR_PREVOTE,
-    QR_PREVOTE_R,
+    QR_PREVOTE_REPLY,
     QR_VOTE,
-    QR_VOTE_R,
+    QR_VOTE_REPLY,
     QR_APPEND,
-    QR_APPEND_R,
+    QR_APPEND_REPLY,
     QR_SNAP,
     QR_TIMEOUT_NOW, /* the leader transfers its leadership: start an election at once */
 };
--- a/tests/unit/test_quorum.c
+++ b/tests/unit/test_quorum.c
@@ -70,10 +70,10 @@
 {
     uint64_t term = qr_term(q) + 1;
     qr_tick(q, now, now);
-    struct qr_msg v = {.type = QR_PREVOTE_R, .from = 2, .to = 1, .ok = true, .round = term};
+    struct qr_msg v = {.type = QR_PREVOTE_REPLY, .from = 2, .to = 1, .ok = true, .round = term};
     qr_receive(q, &v, now);
     qr_persisted(q, last_seq, now);
-    v = (struct qr_msg){.type = QR_VOTE_R, .from = 2, .to = 1, .term = term, .ok = true};
+    v = (struct qr_msg){.type = QR_VOTE_REPLY, .from = 2, .to = 1, .term = term, .ok = true};
     qr_receive(q, &v, now);
     CU_ASSERT_EQUAL(qr_role(q), QR_LEADER);
 }
@@ -83,7 +83,7 @@
     struct qr *q = three(1);
     qr_tick(q, CK_SEC(1), CK_SEC(1));
     CU_ASSERT_EQUAL(count(QR_PREVOTE), 2);
-    struct qr_msg v = {.type = QR_PREVOTE_R, .from = 2, .to = 1, .ok = true, .round = 1};
+    struct qr_msg v = {.type = QR_PREVOTE_REPLY, .from = 2, .to = 1, .ok = true, .round = 1};
     qr_receive(q, &v, CK_SEC(1));
     CU_ASSERT_EQUAL(count(QR_VOTE), 0); /* its own vote is not on disk yet */
     qr_persisted(q, last_seq, CK_SEC(1));
@@ -92,9 +92,9 @@
     q = three(2);
     struct qr_msg ask = {.type = QR_VOTE, .from = 1, .to = 2, .term = 4};
     qr_receive(q, &ask, CK_SEC(1));
-    CU_ASSERT_EQUAL(count(QR_VOTE_R), 0);
+    CU_ASSERT_EQUAL(count(QR_VOTE_REPLY), 0);
     qr_persisted(q, last_seq, CK_SEC(1));
-    CU_ASSERT_EQUAL(count(QR_VOTE_R), 1);
+    CU_ASSERT_EQUAL(count(QR_VOTE_REPLY), 1);
     qr_destroy(q);
 }
 
@@ -119,7 +119,7 @@
                           .len = 1};
     qr_receive(q, &append, CK_SEC(1));
     qr_persisted(q, last_seq, CK_SEC(1));
-    CU_ASSERT(sent[n_sent - 1].type == QR_APPEND_R && sent[n_sent - 1].index == 3);
+    CU_ASSERT(sent[n_sent - 1].type == QR_APPEND_REPLY && sent[n_sent - 1].index == 3);
     qr_receive(q, &snap, CK_SEC(1));
     CU_ASSERT_EQUAL(qr_last(q), 3);
     CU_ASSERT_EQUAL(qr_commit(q), 2); /* what the snapshot holds is committed */
@@ -220,7 +220,7 @@
     qr_persisted(q, last_seq, CK_MS(100));
     lead(q, CK_SEC(1));
     n_sent = 0;
-    struct qr_msg no = {.type = QR_APPEND_R, .from = 2, .to = 1, .term = 2, .round = 1};
+    struct qr_msg no = {.type = QR_APPEND_REPLY, .from = 2, .to = 1, .term = 2, .round = 1};
     qr_receive(q, &no, CK_MS(1020)); /* it lacks the entry */
     for (int64_t t = CK_MS(1020); t < CK_MS(1200); t += CK_MS(10))
         qr_tick(q, t, t);
@@ -239,8 +239,13 @@
     lead(q, CK_SEC(1));
     CU_ASSERT_EQUAL(qr_sole_leader_until(q), 0); /* nothing committed in this term */
     qr_persisted(q, last_seq, CK_SEC(1));
-    struct qr_msg ack = {
-        .type = QR_APPEND_R, .from = 2, .to = 1, .term = 1, .ok = true, .index = 1, .round = 1};
+    struct qr_msg ack = {.type = QR_APPEND_REPLY,
+                         .from = 2,
+                         .to = 1,
+                         .term = 1,
+                         .ok = true,
+                         .index = 1,
+                         .round = 1};
     qr_receive(q, &ack, CK_MS(1400));
     CU_ASSERT_EQUAL(qr_sole_leader_until(q), CK_SEC(1) + CK_MS(250));
     struct er_err err = {0};
@@ -257,8 +262,13 @@
     struct qr_member m = {.id = 9};
     lead(q, CK_SEC(1));
     qr_persisted(q, last_seq, CK_SEC(1));
-    struct qr_msg ack = {
-        .type = QR_APPEND_R, .from = 2, .to = 1, .term = 1, .ok = true, .index = 1, .round = 1};
+    struct qr_msg ack = {.type = QR_APPEND_REPLY,
+                         .from = 2,
+                         .to = 1,
+                         .term = 1,
+                         .ok = true,
+                         .index = 1,
+                         .round = 1};
     qr_receive(q, &ack, CK_MS(1001));
     qr_add_learner(q, &m, CK_MS(1001), &err);
     qr_persisted(q, last_seq, CK_MS(1001));
@@ -291,13 +301,18 @@
     struct qr *q = qr_create(&cfg, &r, 0);
     qr_tick(q, CK_SEC(1), CK_SEC(1));
     struct qr_msg v = {
-        .type = QR_PREVOTE_R, .from = 2, .to = 1, .term = 3, .ok = true, .round = 4};
+        .type = QR_PREVOTE_REPLY, .from = 2, .to = 1, .term = 3, .ok = true, .round = 4};
     qr_receive(q, &v, CK_SEC(1));
     qr_persisted(q, last_seq, CK_SEC(1));
-    v = (struct qr_msg){.type = QR_VOTE_R, .from = 2, .to = 1, .term = 4, .ok = true};
+    v = (struct qr_msg){.type = QR_VOTE_REPLY, .from = 2, .to = 1, .term = 4, .ok = true};
     qr_receive(q, &v, CK_SEC(1));
-    struct qr_msg ack = {
-        .type = QR_APPEND_R, .from = 2, .to = 1, .term = 4, .ok = true, .index = 1, .round = 1};
+    struct qr_msg ack = {.type = QR_APPEND_REPLY,
+                         .from = 2,
+                         .to = 1,
+                         .term = 4,
+                         .ok = true,
+                         .index = 1,
+                         .round = 1};
     qr_receive(q, &ack, CK_SEC(1));
     bool committed = qr_commit(q) >= 1;
     qr_persisted(q, last_seq, CK_SEC(1));
@@ -333,7 +348,7 @@
     ask.type = QR_VOTE;
     qr_receive(q, &ask, CK_MS(at));
     qr_persisted(q, last_seq, CK_MS(at));
-    bool vote = n_sent > 0 && sent[n_sent - 1].type == QR_VOTE_R && sent[n_sent - 1].ok;
+    bool vote = n_sent > 0 && sent[n_sent - 1].type == QR_VOTE_REPLY && sent[n_sent - 1].ok;
     qr_destroy(q);
     CU_ASSERT_EQUAL(pre, vote);
     return vote;
@@ -366,7 +381,7 @@
         .type = QR_VOTE, .from = 2, .to = 1, .term = 4, .no_leader_seen = true};
     qr_receive(q, &ask, CK_MS(10));
     qr_persisted(q, last_seq, CK_MS(10));
-    bool vote = n_sent > 0 && sent[n_sent - 1].type == QR_VOTE_R && sent[n_sent - 1].ok;
+    bool vote = n_sent > 0 && sent[n_sent - 1].type == QR_VOTE_REPLY && sent[n_sent - 1].ok;
     qr_destroy(q);
     return vote;
 }
@@ -388,7 +403,7 @@
     CU_ASSERT_TRUE(n_sent == 2 && sent[0].type == QR_PREVOTE);
     for (int i = 0; i < answers; i++) {
         struct qr_msg m = {
-            .type = QR_PREVOTE_R, .to = 1, .term = 3, .round = 4, .no_leader_seen = true};
+            .type = QR_PREVOTE_REPLY, .to = 1, .term = 3, .round = 4, .no_leader_seen = true};
         if (i == answers - 1)
             m = last;
         m.from = (uint64_t)i + 2;
@@ -403,7 +418,7 @@
 static void voters_that_all_start_elect_at_once(void)
 {
     struct qr_msg says = {
-        .type = QR_PREVOTE_R, .to = 1, .term = 3, .round = 4, .no_leader_seen = true};
+        .type = QR_PREVOTE_REPLY, .to = 1, .term = 3, .round = 4, .no_leader_seen = true};
     CU_ASSERT_TRUE(asks_cold(2, says));
     CU_ASSERT_FALSE(asks_cold(1, says)); /* the third may lead */
     struct qr_msg met = says, newer = says, longer = says;
