--- a/limit/limit.h
+++ b/limit/limit.h
@@ -137,7 +137,7 @@
 enum { LM_CLASSES = 3 };
 
 /* Demand of a class: its operations, whether or not they get a permit. */
-struct lm_asked {
+struct lm_demand {
     double rate;   /* operations per second, smoothed */
     int64_t at;    /* time of the last operation */
     int n_refused; /* refusals since the last permit */
@@ -157,7 +157,7 @@
     int64_t over_until;   /* the account is over its limit until then; 0: it is not */
     int n_requested;      /* permits requested in the last report of the account */
     int64_t scarce_until; /* permits count as scarce until then */
-    struct lm_asked demand[LM_CLASSES];
+    struct lm_demand demand[LM_CLASSES];
     int reported_held; /* permits that the leader counts for this node, as far as the node
                      knows; below 0: the leader knows nothing of this node */
 };
--- a/limit/pool.c
+++ b/limit/pool.c
@@ -40,12 +40,12 @@
 
 /* ---- classes ---- */
 
-static double demand_now(const struct lm_asked *a, int64_t now)
+static double demand_now(const struct lm_demand *a, int64_t now)
 {
     return a->rate * exp(-(double)(now - a->at) / 1e6 / SMOOTH_S);
 }
 
-static void note_demand(struct lm_asked *a, int64_t now)
+static void note_demand(struct lm_demand *a, int64_t now)
 {
     a->rate = demand_now(a, now) + 1 / SMOOTH_S;
     a->at = now;
