--- a/account/account.c
+++ b/account/account.c
@@ -100,7 +100,7 @@
     *t = (struct ac_table){0};
 }
 
-const struct ac_account *ac_of_key(const struct ac_table *t, struct sr_str key)
+const struct ac_account *ac_by_key(const struct ac_table *t, struct sr_str key)
 {
     if (t->n_keys == 0 || key.len == 0)
         return NULL;
--- a/account/account.h
+++ b/account/account.h
@@ -54,7 +54,7 @@
 void ac_free(struct ac_table *t);
 
 /* Return the account with the key or the name, or NULL. */
-const struct ac_account *ac_of_key(const struct ac_table *t, struct sr_str key);
+const struct ac_account *ac_by_key(const struct ac_table *t, struct sr_str key);
 const struct ac_account *ac_by_name(const struct ac_table *t, const char *name);
 
 #endif
--- a/bench/decisions.c
+++ b/bench/decisions.c
@@ -268,7 +268,7 @@
         ac_add_key(&t, i % ACCOUNTS, sr_from(text), NULL);
     }
     for (int i = 0; i < n; i++)
-        keep += ac_of_key(&t, sr_from(text)) != NULL;
+        keep += ac_by_key(&t, sr_from(text)) != NULL;
 }
 
 /* What the leader does for one operation of an account that 16 nodes serve. */
--- a/proxy/accounts.c
+++ b/proxy/accounts.c
@@ -8,7 +8,7 @@
 bool px_identify(struct px_session *s, const struct cg_route *r)
 {
     const struct ac_table *accounts = &s->p->catalog.accounts;
-    const struct ac_account *a = ac_of_key(accounts, sr_from(s->key));
+    const struct ac_account *a = ac_by_key(accounts, sr_from(s->key));
     const char *who = a ? a->name : nobody;
     if (!accounts->listed)
         who = s->p->cfg.name;
--- a/tests/unit/test_accounts.c
+++ b/tests/unit/test_accounts.c
@@ -22,10 +22,10 @@
     CU_ASSERT_TRUE(ac_add_key(&t, a, SR_LIT("secret1"), &err));
     CU_ASSERT_TRUE(ac_add_key(&t, a, SR_LIT("secret1"), &err));
     CU_ASSERT_TRUE(ac_add_key(&t, b, SR_LIT("secret2"), &err));
-    CU_ASSERT_STRING_EQUAL(ac_of_key(&t, SR_LIT("secret1"))->name, "one");
-    CU_ASSERT_STRING_EQUAL(ac_of_key(&t, SR_LIT("secret2"))->name, "two");
-    CU_ASSERT_PTR_NULL(ac_of_key(&t, SR_LIT("secret")));
-    CU_ASSERT_PTR_NULL(ac_of_key(&t, SR_LIT("")));
+    CU_ASSERT_STRING_EQUAL(ac_by_key(&t, SR_LIT("secret1"))->name, "one");
+    CU_ASSERT_STRING_EQUAL(ac_by_key(&t, SR_LIT("secret2"))->name, "two");
+    CU_ASSERT_PTR_NULL(ac_by_key(&t, SR_LIT("secret")));
+    CU_ASSERT_PTR_NULL(ac_by_key(&t, SR_LIT("")));
     CU_ASSERT_FALSE(ac_add_key(&t, b, SR_LIT("secret1"), &err));
     CU_ASSERT_PTR_NULL(strstr(err.text, "secret"));
     CU_ASSERT_EQUAL(ac_add(&t, SR_LIT("one"), NULL), -1);
@@ -34,7 +34,7 @@
     CU_ASSERT_FALSE(ac_add_key(&t, a, SR_LIT(""), NULL));
     CU_ASSERT_FALSE(ac_add_key(&t, a, SR_LIT("a b"), NULL));
     ac_free(&t);
-    CU_ASSERT_PTR_NULL(ac_of_key(&t, SR_LIT("secret1")));
+    CU_ASSERT_PTR_NULL(ac_by_key(&t, SR_LIT("secret1")));
 }
 
 static void many_keys_are_all_found(void)
@@ -53,7 +53,7 @@
     }
     for (int i = 0; i < KEYS; i++) {
         snprintf(text, sizeof(text), "k%dx%d", i, i * 7);
-        const struct ac_account *a = ac_of_key(&t, sr_from(text));
+        const struct ac_account *a = ac_by_key(&t, sr_from(text));
         found += a == &t.accounts[i % ACCOUNTS];
     }
     CU_ASSERT_EQUAL(found, KEYS);
