--- a/control/control.c
+++ b/control/control.c
@@ -231,7 +231,7 @@
     if (disk->torn_bytes)
         FL_WARN(&n->log, "%llu bytes of an unfinished write were cut off the log",
                 (unsigned long long)disk->torn_bytes);
-    if (disk->fresh && !bootstrap && !s->registers)
+    if (disk->created && !bootstrap && !s->registers)
         FL_WARN(&n->log,
                 "%s was empty: this is a new member, id %llx; it votes once an operator has "
                 "let it in (ferryctl plan replace)",
@@ -245,9 +245,9 @@
         first_members(s, &disk->restore.members);
         return true;
     }
-    if (bootstrap && disk->fresh)
+    if (bootstrap && disk->created)
         first_members(s, &disk->restore.members);
-    return ct_founders(n, bootstrap && disk->fresh, &disk->restore.members, err);
+    return ct_founders(n, bootstrap && disk->created, &disk->restore.members, err);
 }
 
 static void restore_view(struct ct_node *n, const struct so_loaded *disk)
--- a/quorum/store.c
+++ b/quorum/store.c
@@ -433,7 +433,7 @@
         *err = e;
         return false;
     }
-    out->fresh = true;
+    out->created = true;
     while (!wanted)
         randombytes_buf(&wanted, sizeof(wanted));
     out->identity = wanted;
--- a/quorum/store.h
+++ b/quorum/store.h
@@ -32,7 +32,7 @@
 
 /* The state that was loaded from the disk. */
 struct so_loaded {
-    bool fresh;                /* the folder was empty and got a new identity */
+    bool created;              /* the folder was empty and got a new identity */
     uint64_t identity;         /* id of the member that owns the folder */
     uint64_t torn_bytes;       /* bytes truncated from the end of the log */
     struct qr_restore restore; /* its pointers belong to the store, valid until so_release */
--- a/tests/unit/test_store.c
+++ b/tests/unit/test_store.c
@@ -68,17 +68,17 @@
     struct er_err err;
     new_dir();
     struct so_store *s = open_store(&a, &err);
-    CU_ASSERT_TRUE(a.fresh);
+    CU_ASSERT_TRUE(a.created);
     CU_ASSERT_PTR_NULL(so_open(dir, "cluster", 0, &b, &err)); /* locked */
     so_close(s);
     s = open_store(&b, &err);
-    CU_ASSERT(!b.fresh && a.identity == b.identity);
+    CU_ASSERT(!b.created && a.identity == b.identity);
     so_close(s);
     CU_ASSERT_PTR_NULL(so_open(dir, "another", 0, &b, &err));
     remove_dir();
     new_dir(); /* an emptied folder is another member */
     s = open_store(&b, &err);
-    CU_ASSERT(b.fresh && a.identity != b.identity);
+    CU_ASSERT(b.created && a.identity != b.identity);
     so_close(s);
     remove_dir();
 }
