--- a/limit/allocator.c
+++ b/limit/allocator.c
@@ -209,7 +209,7 @@
 
 /* ---- outstanding permits ---- */
 
-double lm_out(const struct lm_allocator *g, const char *name, int64_t now)
+double lm_outstanding(const struct lm_allocator *g, const char *name, int64_t now)
 {
     struct lm_account *a = find(g, name);
     return a ? outstanding_now(g, a, now) : 0;
--- a/limit/limit.h
+++ b/limit/limit.h
@@ -122,7 +122,7 @@
                       const struct lm_report *r, uint64_t applied_seq, uint64_t seq,
                       int64_t now, struct lm_grant *out);
 /* Upper bound of the account's permits that are outstanding. */
-double lm_out(const struct lm_allocator *g, const char *name, int64_t now);
+double lm_outstanding(const struct lm_allocator *g, const char *name, int64_t now);
 
 /* ---- pool: a node where operations begin ---- */
 
--- a/tests/unit/test_limit.c
+++ b/tests/unit/test_limit.c
@@ -485,8 +485,9 @@
     lm_renewed(&g, 1, true, CK_SEC(60));
     CU_ASSERT_TRUE(lm_handle_report(&g, "some", 1, &r, 0, 2, CK_SEC(60), &a));
     CU_ASSERT(a.given > 0 && a.given <= bound_of(5, 5, false));
-    CU_ASSERT_EQUAL((int)lm_out(&g, "some", CK_SEC(60) + LM_PERMIT_LIFE_US), a.given);
-    CU_ASSERT_EQUAL((int)lm_out(&g, "some", CK_SEC(62)), 0); /* not renewed, they have ended */
+    CU_ASSERT_EQUAL((int)lm_outstanding(&g, "some", CK_SEC(60) + LM_PERMIT_LIFE_US), a.given);
+    CU_ASSERT_EQUAL((int)lm_outstanding(&g, "some", CK_SEC(62)),
+                    0); /* not renewed, they have ended */
     CU_ASSERT_FALSE(lm_handle_report(&g, "unknown", 1, &r, 0, 3, 1, &a));
     lm_sweep(&g);
     lm_set(&g, "some", 5, 5, CK_SEC(62));
--- a/tests/unit/test_permits.c
+++ b/tests/unit/test_permits.c
@@ -19,7 +19,7 @@
     lm_renewed(&g, 2, true, CK_SEC(7));
     lm_handle_report(&g, "a", 2, &r, 0, 2, CK_SEC(7), &a);
     CU_ASSERT_EQUAL(a.given, 5);
-    CU_ASSERT_EQUAL((int)lm_out(&g, "a", CK_SEC(7)), 5);
+    CU_ASSERT_EQUAL((int)lm_outstanding(&g, "a", CK_SEC(7)), 5);
     lm_free(&g);
 }
 
