--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -22,7 +22,7 @@
     p->loop = l;
     p->cfg = *cfg;
     p->rng = rn_seed(cfg->seed);
-    p->permits_untold = true;
+    p->permits_unreported = true;
     if (!px_listen(p, err)) {
         free(p);
         return NULL;
@@ -35,7 +35,7 @@
     return p->catalog.version > 0;
 }
 
-int64_t px_heard(const struct px_proxy *p)
+int64_t px_received_until(const struct px_proxy *p)
 {
     return nt_heard_until(p->loop);
 }
@@ -47,9 +47,10 @@
     return p->cfg.host.leased(p->cfg.host.ud);
 }
 
-bool px_cut_off(const struct px_proxy *p)
+bool px_disconnected(const struct px_proxy *p)
 {
-    return p->leased_at && !px_leased(p) && px_heard(p) - p->leased_at > PX_CUT_OFF_US;
+    return p->leased_at && !px_leased(p) &&
+           px_received_until(p) - p->leased_at > PX_DISCONNECTED_US;
 }
 
 /* ---- shares ---- */
@@ -62,7 +63,7 @@
     if (!in->group->held || !px_has_accounts(in->p))
         return 0;
     for (const struct px_conn *c = in->conns; c; c = c->next)
-        k += !c->closing && now - c->used_at < KEEP_US;
+        k += !c->closing && now - c->last_used_at < KEEP_US;
     return k;
 }
 
@@ -75,12 +76,13 @@
      * without connections of theirs 50 statements in 2 s ran into their time limit while 42 of
      * 76 nodes were restarted in turn. */
     int next = in->group->held ? 1 + in->replaced : 0;
-    int want = in->cfg.draining ? 0 : (used > in->peak ? used : in->peak) + next;
+    int want = in->cfg.draining ? 0 : (used > in->peak_demand ? used : in->peak_demand) + next;
     in->replaced -= (in->replaced + 3) / 4;
     *out = (struct wr_share){sr_from(in->cfg.id), (uint32_t)held, (uint32_t)want};
-    in->peak -= (in->peak + 3) / 4; /* demand is forgotten slowly: a share costs time to get */
-    if (in->peak < in->busy + in->n_waiters)
-        in->peak = in->busy + in->n_waiters;
+    in->peak_demand -=
+        (in->peak_demand + 3) / 4; /* demand is forgotten slowly: a share costs time to get */
+    if (in->peak_demand < in->busy + in->n_waiters)
+        in->peak_demand = in->busy + in->n_waiters;
 }
 
 uint32_t px_wants(struct px_proxy *p, struct wr_share *out, uint32_t cap)
@@ -90,7 +92,7 @@
         for (int i = 0; i < p->groups[g]->cfg.n && k < cap; i++) {
             struct px_inst *in = p->groups[g]->inst[i];
             add_want(in, &out[k]);
-            if (sh_to_name(&in->named, out[k].held, out[k].want))
+            if (sh_to_name(&in->renewals_left, out[k].held, out[k].want))
                 k++;
         }
     }
@@ -99,9 +101,9 @@
 
 bool px_has_news(struct px_proxy *p)
 {
-    bool news = p->news;
-    p->news = false;
-    return news;
+    bool changes = p->has_changes;
+    p->has_changes = false;
+    return changes;
 }
 
 void px_share(struct px_proxy *p, struct sr_str id, int connections)
@@ -110,7 +112,7 @@
     if (!in)
         return;
     in->share = connections;
-    px_inst_want_first(in, ck_now());
+    px_inst_want_first_conn(in, ck_now());
 }
 
 void px_lease_lost(struct px_proxy *p)
@@ -131,7 +133,7 @@
     if (!p->stopping || now - p->stop_began < p->cfg.grace_us * STOP_FORCE_PERCENT / 100)
         return;
     for (struct px_session *s = p->sessions; s; s = s->next) {
-        if (s->stage == PX_S_REST && px_in_txn(s) && s->conn)
+        if (s->stage == PX_S_IDLE && px_in_txn(s) && s->conn)
             px_abort_txn(s);
     }
 }
@@ -139,9 +141,9 @@
 static void tell_stages(struct px_proxy *p, int64_t now)
 {
     struct sr_buf b = {0};
-    if (now - p->stages_told_at < STAGES_EVERY_US)
+    if (now - p->stages_logged_at < STAGES_EVERY_US)
         return;
-    p->stages_told_at = now;
+    p->stages_logged_at = now;
     if (px_stages_report(&p->stages, &b))
         FL_EVENT(&p->log, LG_INFO, "stages", "%.*s", (int)b.len, b.p);
     sr_buf_free(&b);
@@ -190,7 +192,7 @@
 static bool any_asked_elsewhere(const struct px_proxy *p)
 {
     for (const struct px_session *s = p->sessions; s; s = s->next) {
-        if (px_asked_elsewhere(s))
+        if (px_relay_pending(s))
             return true;
     }
     return false;
@@ -215,7 +217,7 @@
     sr_buf_printf(out, "ferry_session_%s_us_count %llu\n", name, (unsigned long long)h->count);
 }
 
-void px_meter(struct px_proxy *p, struct nt_conn *net, enum px_peer to, const char *domain)
+void px_meter(struct px_proxy *p, struct nt_conn *net, enum px_peer_kind to, const char *domain)
 {
     nt_meter(net, &p->traffic[to][rt_distance(p->cfg.domain, domain)]);
 }
@@ -242,8 +244,8 @@
         const char *peer;
         uint64_t n;
     } rows[] = {{"instance", p->stages.part[PX_T_SETUP].count},
-                {"node", p->c.passed},
-                {"asker", p->c.served}};
+                {"node", p->c.statements_relayed},
+                {"asker", p->c.statements_served}};
     for (size_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++)
         sr_buf_printf(out, "ferry_session_peer_statements_total{peer=\"%s\"} %llu\n",
                       rows[i].peer, (unsigned long long)rows[i].n);
@@ -312,16 +314,16 @@
     struct px_account rest = {0};
     for (int i = 0; i < p->n_accounts; i++) {
         if (i < PX_ACCOUNTS_TOLD) {
-            put_account(out, a[i]->name, a[i]->begun, a[i]->refused, a[i]->stock.held);
+            put_account(out, a[i]->name, a[i]->begun, a[i]->refused, a[i]->permits.held);
             put_limit(out, ac_by_name(&p->catalog.accounts, a[i]->name));
         } else {
             rest.begun += a[i]->begun;
             rest.refused += a[i]->refused;
-            rest.stock.held += a[i]->stock.held;
+            rest.permits.held += a[i]->permits.held;
         }
     }
     if (p->n_accounts > PX_ACCOUNTS_TOLD)
-        put_account(out, "-", rest.begun, rest.refused, rest.stock.held);
+        put_account(out, "-", rest.begun, rest.refused, rest.permits.held);
     free(a);
 }
 
@@ -329,7 +331,7 @@
                      const char *nodes[HO_MAX_HOLDERS])
 {
     struct px_group *g = px_group(p, group);
-    const struct sp_place *place = g ? px_place_of(g, account) : NULL;
+    const struct sp_place *place = g ? px_account_placement(g, account) : NULL;
     int n = place ? place->n : 0;
     for (int k = 0; k < n; k++)
         nodes[k] = p->nodes[g->holders[place->at[k]]].name;
@@ -379,14 +381,14 @@
                 {"behind_total", p->c.behind},
                 {"retries_total", p->c.retries},
                 {"parked_total", p->c.parked},
-                {"lost_connections_total", p->c.lost},
-                {"opened_connections_total", p->c.opened},
-                {"replaced_connections_total", p->c.replaced},
+                {"lost_connections_total", p->c.lost_conns},
+                {"opened_connections_total", p->c.opened_conns},
+                {"replaced_connections_total", p->c.replaced_conns},
                 {"unknown_keys_total", p->c.unknown_keys},
                 {"relayed_total", p->c.relayed},
-                {"relayed_by_others_total", p->c.by_others},
+                {"relayed_by_others_total", p->c.relayed_by_others},
                 {"passed_on_total", p->c.passed_on},
-                {"neighbors_silent", (uint64_t)px_neighbors_silent(p)},
+                {"neighbors_silent", (uint64_t)px_count_silent_neighbors(p)},
                 {"neighbor_trials_total", p->c.trials},
                 {"silent_told_total", p->c.silent_told},
                 {"cut_total", p->c.cut},
@@ -403,9 +405,9 @@
     for (int k = 1; k < ER_COUNT; k++)
         sr_buf_printf(out, "ferry_session_failed_by_total{reason=\"%s\"} %llu\n", er_name(k),
                       (unsigned long long)p->c.by_reason[k]);
-    for (int k = 0; k < PX_ENDS; k++)
-        sr_buf_printf(out, "ferry_session_closed_total{why=\"%s\"} %llu\n", px_end_name(k),
-                      (unsigned long long)p->c.ends[k]);
+    for (int k = 0; k < PX_END_REASONS; k++)
+        sr_buf_printf(out, "ferry_session_closed_total{why=\"%s\"} %llu\n",
+                      px_end_reason_name(k), (unsigned long long)p->c.ends[k]);
     put_traffic(out, p);
     put_passed(out, p);
     put_accounts(out, p);
--- a/proxy/work.c
+++ b/proxy/work.c
@@ -22,37 +22,37 @@
 
 /* ---- beginning and ending ---- */
 
-void px_part_done(struct px_session *s, enum px_part part)
+void px_stage_done(struct px_session *s, enum px_part part)
 {
     int64_t now = ck_now();
-    px_stage(&s->p->stages, part, now - s->part_since);
-    s->part_since = now;
+    px_stage(&s->p->stages, part, now - s->stage_since);
+    s->stage_since = now;
 }
 
 void px_begin_work(struct px_session *s)
 {
     struct px_proxy *p = s->p;
-    s->arrived = s->part_since = ck_now();
+    s->arrived = s->stage_since = ck_now();
     s->deadline = s->arrived + s->route.timeout_us;
     s->attempts = s->offers = 0;
-    s->skip = 0;
-    s->kind = px_pace_kind(sr_from(s->database), s->writes);
+    s->skip_mask = 0;
+    s->pace_kind = px_pace_kind(sr_from(s->database), s->writes);
     s->prev_active = NULL;
     s->next_active = p->active;
     if (p->active)
         p->active->prev_active = s;
     p->active = s;
     p->c.statements++;
-    s->stage = PX_S_BEGUN;
+    s->stage = PX_S_STARTED;
     px_route_work(s);
 }
 
 void px_end_work(struct px_session *s)
 {
-    if (s->stage == PX_S_REST)
+    if (s->stage == PX_S_IDLE)
         return;
     if (s->stage == PX_S_WAITING)
-        px_inst_unwait(s->inst, s);
+        px_inst_dequeue(s->inst, s);
     if (s->prev_active)
         s->prev_active->next_active = s->next_active;
     else
@@ -60,7 +60,7 @@
     if (s->next_active)
         s->next_active->prev_active = s->prev_active;
     s->prev_active = s->next_active = NULL;
-    s->stage = PX_S_REST;
+    s->stage = PX_S_IDLE;
     s->inst = NULL;
 }
 
@@ -76,7 +76,7 @@
 
 bool px_needs_primary(const struct px_session *s)
 {
-    if (s->writes || (px_in_txn(s) && !s->read_only))
+    if (s->writes || (px_in_txn(s) && !s->txn_read_only))
         return true;
     return s->route.reads == CG_NEWEST;
 }
@@ -87,17 +87,17 @@
     const struct px_group *g = in->group;
     /* Room for one more is no connection where it has to be opened for the account first. */
     bool accounts = px_has_accounts(in->p);
-    bool idle = accounts ? px_inst_ready(in, s) : in->n_conns > in->busy;
+    bool idle = accounts ? px_inst_has_idle_conn(in, s) : in->n_conns > in->busy;
     return (struct px_candidate){
-        .usable = px_inst_usable(in, now) && !(s->skip & (1u << in->at)),
-        .primary = in->at == g->cfg.primary,
+        .usable = px_inst_usable(in, now) && !(s->skip_mask & (1u << in->index)),
+        .primary = in->index == g->cfg.primary,
         .free_conn = idle || (!accounts && px_inst_has_room(in, now)),
         /* A transaction that rests between two statements holds a connection, but no slot. */
         .waiting = px_inst_running(in) + in->n_waiters,
-        .service_us = px_pace_expect(&g->pace, s->kind, in->pace),
+        .service_us = px_pace_expect(&g->pace, s->pace_kind, in->pace),
         .fail_rate = px_outlier_rate(&in->outlier, now),
         .distance = rt_distance(s->p->cfg.domain, in->cfg.domain),
-        .known = in->known,
+        .known = in->known_pos,
         .behind_until = in->behind_until,
     };
 }
@@ -108,16 +108,16 @@
     struct px_candidate c[VW_MAX_INSTANCES];
     struct ps_pos floor;
     if (!px_age_floor(g, s->route.max_age_us, now, &floor))
-        return px_primary(g, now);
-    if (s->route.reads == CG_SESSION && strcmp(s->seen_in, g->cfg.name) == 0)
-        floor = ps_max(floor, s->seen);
+        return px_serving_primary(g, now);
+    if (s->route.reads == CG_SESSION && strcmp(s->last_commit_group, g->cfg.name) == 0)
+        floor = ps_max(floor, s->last_commit);
     s->has_floor = true;
     s->floor = floor;
     for (int i = 0; i < g->cfg.n; i++)
         c[i] = candidate(s, g->inst[i], now);
     int i = px_place(c, g->cfg.n, true, floor, now, &s->p->rng);
     for (int k = 0; i < 0 && k < g->cfg.n; k++)
-        px_inst_lacks(g->inst[k], now);
+        px_inst_request_share(g->inst[k], now);
     return i < 0 ? NULL : g->inst[i];
 }
 
@@ -128,13 +128,13 @@
         struct px_inst *in = place_read(s, g, now);
         /* The primary of a term in force misses nothing: a position that was lost with the term
          * before must not keep the session from reading. */
-        if (in && in == px_primary(g, now))
+        if (in && in == px_serving_primary(g, now))
             s->has_floor = false;
         return in;
     }
-    struct px_inst *in = px_primary(g, now);
+    struct px_inst *in = px_serving_primary(g, now);
     if (in && !px_inst_usable(in, now))
-        px_inst_lacks(in, now);
+        px_inst_request_share(in, now);
     return in && px_inst_usable(in, now) ? in : NULL;
 }
 
@@ -143,7 +143,7 @@
     int64_t now = ck_now();
     enum lm_verdict permit = px_permit_take(s);
     if (permit == LM_REFUSE) {
-        px_permit_refuse(s);
+        px_refuse_over_limit(s);
         return;
     }
     if (permit == LM_WAIT) {
@@ -154,22 +154,22 @@
         px_conn_run(s->conn, s);
         return;
     }
-    struct px_group *g = px_group_of(s);
+    struct px_group *g = px_session_group(s);
     struct px_inst *in = g ? place(s, g, now) : NULL;
     if (!in) {
-        s->skip = 0; /* nobody is left: all may be asked again */
+        s->skip_mask = 0; /* nobody is left: all may be asked again */
         px_park(s, now + PX_PARK_US);
         return;
     }
-    px_inst_take(in, s);
+    px_inst_submit(in, s);
 }
 
-bool px_try_again(struct px_session *s, int64_t after_us, bool counts)
+bool px_retry(struct px_session *s, int64_t after_us, bool counts)
 {
     if (counts && ++s->attempts >= s->route.attempts)
         return false;
     if (counts)
-        px_permit_again(s);
+        px_permit_charge_retry(s);
     s->p->c.retries++;
     px_park(s, ck_now() + after_us);
     if (after_us == 0)
@@ -198,12 +198,12 @@
     struct px_conn *c = s->conn;
     if (!repeatable(s) || px_needs_primary(s) || px_last_try(s))
         return;
-    if (c->phase != PX_C_RUNNING || px_heard(s->p) - s->sent_at < patience(s))
+    if (c->phase != PX_C_RUNNING || px_received_until(s->p) - s->sent_at < patience(s))
         return;
-    s->skip |= 1u << c->inst->at;
+    s->skip_mask |= 1u << c->inst->index;
     s->conn = NULL;
     px_conn_orphan(c);
-    px_try_again(s, 0, true);
+    px_retry(s, 0, true);
 }
 
 static int64_t longest_wait(const struct px_session *s)
@@ -215,9 +215,9 @@
 /* Where it waits no connection comes free; another instance may have one. */
 static void wait_tick(struct px_session *s, int64_t now)
 {
-    if (px_heard(s->p) - s->arrived > longest_wait(s)) {
-        if (s->inst->at == s->inst->group->cfg.primary)
-            s->inst->group->refused_at = now;
+    if (px_received_until(s->p) - s->arrived > longest_wait(s)) {
+        if (s->inst->index == s->inst->group->cfg.primary)
+            s->inst->group->wait_failed_at = now;
         px_refuse(s, ER_OVERLOAD, "no connection to the database is free; retry in 100 ms");
         return;
     }
@@ -225,7 +225,7 @@
     bool may_move = !px_needs_primary(s) && now - s->waiting_since > MOVE_US;
     if (usable && !may_move)
         return;
-    px_inst_unwait(s->inst, s);
+    px_inst_dequeue(s->inst, s);
     px_park(s, now);
     px_route_work(s);
 }
@@ -234,16 +234,17 @@
 static bool expired(const struct px_session *s, int64_t now)
 {
     bool sent = s->stage == PX_S_AT_INSTANCE && s->conn && s->conn->phase == PX_C_RUNNING;
-    return (sent ? px_heard(s->p) : now) > s->deadline;
+    return (sent ? px_received_until(s->p) : now) > s->deadline;
 }
 
 void px_work_tick(struct px_session *s, int64_t now)
 {
     if (expired(s, now))
         px_expire(s);
-    else if (s->stage == PX_S_PARKED && px_cut_off(s->p))
+    else if (s->stage == PX_S_PARKED && px_disconnected(s->p))
         px_refuse(s, ER_NO_LEASE, "this node is cut off; another may serve it, at once");
-    else if (s->permit == PX_P_DUE && px_heard(s->p) - s->arrived > longest_wait(s))
+    else if (s->permit == PX_PERMIT_NEEDED &&
+             px_received_until(s->p) - s->arrived > longest_wait(s))
         px_refuse(s, ER_LIMIT, "no permit for the account has come; retry in 200 ms");
     else if (s->stage == PX_S_PARKED && now >= s->retry_at)
         px_route_work(s);
