--- a/limit/pool.c
+++ b/limit/pool.c
@@ -9,8 +9,8 @@
  * for so many permits if the limit is 1.6 times the actual use, as users set it. */
 #define COVER_S 1.1
 #define SMOOTH_S 1.0 /* time constant of the smoothed rates */
-/* Permits are reserved for the expected demand of the classes before in this time: the interval
- * between two renewals. */
+/* Permits are reserved for the operations that the classes served first are expected to begin
+ * in this time, which is the interval between two renewals. */
 #define AHEAD_S 0.2
 /* A class with an expected demand of at most this many operations in AHEAD_S is idle. */
 #define IDLE_OPERATIONS 0.1
@@ -21,7 +21,8 @@
      * after one or two renewals. */
     SCARCE_RETRY_US = 300000,
     MAX_REFUSALS = 12, /* then the class may take a permit that is reserved for others */
-    /* If the next permit is expected within this time, the first class waits for it. */
+    /* If the next permit is expected within this time, the class that is served first waits for
+       it. */
     SHORT_PAUSE_US = 100000,
 };
 
@@ -82,7 +83,8 @@
 }
 
 /* The verdict if there is no permit: the operation waits for the next grant or is refused. The
- * first class waits through a short pause, since the next permits are reserved for it. */
+ * class that is served first waits through a short pause, since the next permits are reserved
+ * for it. */
 static enum lm_verdict verdict_without_permit(struct lm_pool *s, int class, int64_t now)
 {
     bool pause = now < s->over_until;
