--- a/control/control.c
+++ b/control/control.c
@@ -106,7 +106,7 @@
 static void note_room(struct ct_node *n)
 {
     struct er_err err = {0};
-    bool full = dk_full(n->disk, &err);
+    bool full = dk_waits_for_space(n->disk, &err);
     if (full == n->disk_full)
         return;
     n->disk_full = full;
--- a/quorum/disk.c
+++ b/quorum/disk.c
@@ -210,7 +210,7 @@
     return failed;
 }
 
-bool dk_full(struct dk_disk *d, struct er_err *err)
+bool dk_waits_for_space(struct dk_disk *d, struct er_err *err)
 {
     pthread_mutex_lock(&d->lock);
     bool full = d->full;
--- a/quorum/disk.h
+++ b/quorum/disk.h
@@ -11,8 +11,8 @@
 
 struct dk_disk;
 
-/* `wake` is called on the disk thread when the result of dk_done, dk_failed or dk_full may have
- * changed. */
+/* `wake` is called on the disk thread when the result of dk_done, dk_failed or
+ * dk_waits_for_space may have changed. */
 struct dk_disk *dk_start(struct so_store *s, void (*wake)(void *ud), void *ud);
 void dk_write(struct dk_disk *d, const struct qr_persist *p);
 /* The highest sequence number (qr_persist.seq) that is durable. */
@@ -21,7 +21,7 @@
  * durable after it. */
 bool dk_failed(struct dk_disk *d, struct er_err *err);
 /* Whether writes wait for free space; if so, *err is the last failure. */
-bool dk_full(struct dk_disk *d, struct er_err *err);
+bool dk_waits_for_space(struct dk_disk *d, struct er_err *err);
 /* The number of syncs and the duration of the longest one; for /metrics. */
 void dk_stats(struct dk_disk *d, uint64_t *syncs, int64_t *longest_us);
 void dk_stop(struct dk_disk *d);
--- a/tests/unit/test_store.c
+++ b/tests/unit/test_store.c
@@ -479,11 +479,11 @@
         struct dk_disk *d = dk_start(s, ignore_wake, NULL);
         write_three(d, f->snapshot);
         for (int k = 0; k < PATIENCE_MS && dk_done(d) < 3; k++) {
-            if (f->call == F_SHORT && dk_full(d, &err))
+            if (f->call == F_SHORT && dk_waits_for_space(d, &err))
                 failing.f = NULL; /* there is room again */
             usleep(1000);
         }
-        if (dk_done(d) != 3 || dk_failed(d, &err) || dk_full(d, &err))
+        if (dk_done(d) != 3 || dk_failed(d, &err) || dk_waits_for_space(d, &err))
             CU_FAIL(f->what);
         dk_stop(d);
         failing.f = NULL;
@@ -510,9 +510,9 @@
     failing.f = &full;
     struct dk_disk *d = dk_start(s, ignore_wake, NULL);
     write_three(d, false);
-    for (int k = 0; k < PATIENCE_MS && !dk_full(d, &err); k++)
+    for (int k = 0; k < PATIENCE_MS && !dk_waits_for_space(d, &err); k++)
         usleep(1000);
-    CU_ASSERT_TRUE(dk_full(d, &err));
+    CU_ASSERT_TRUE(dk_waits_for_space(d, &err));
     CU_ASSERT_EQUAL(err.kind, ER_DISK_FULL);
     CU_ASSERT_FALSE(dk_failed(d, &err));
     CU_ASSERT_EQUAL(dk_done(d), 0);
