--- a/account/account.h
+++ b/account/account.h
@@ -35,7 +35,7 @@
 
 /* A zero-initialized table is that of a document without accounts. */
 struct ac_table {
-    bool given; /* the document lists accounts, so callers need a key */
+    bool listed; /* the document lists accounts, so callers need a key */
     int n;
     struct ac_account *accounts;
     struct ix_index by_name; /* indexes into `accounts` */
@@ -54,7 +54,7 @@
 void ac_free(struct ac_table *t);
 
 /* Return the account with the key or the name, or NULL. */
-const struct ac_account *ac_of_key(const struct ac_table *t, struct sr_str key);
+const struct ac_account *ac_by_key(const struct ac_table *t, struct sr_str key);
 const struct ac_account *ac_by_name(const struct ac_table *t, const char *name);
 
 #endif
--- a/control/control.c
+++ b/control/control.c
@@ -109,7 +109,7 @@
 static void check_disk_space(struct ct_node *n)
 {
     struct er_err err = {0};
-    bool full = dk_full(n->disk, &err);
+    bool full = dk_waits_for_space(n->disk, &err);
     if (full == n->disk_full)
         return;
     n->disk_full = full;
@@ -235,7 +235,7 @@
     if (disk->torn_bytes)
         FL_WARN(&n->log, "%llu bytes of an incomplete write were removed from the log",
                 (unsigned long long)disk->torn_bytes);
-    if (disk->fresh && !bootstrap && !s->registers)
+    if (disk->created && !bootstrap && !s->registers)
         FL_WARN(&n->log,
                 "%s was empty: this is a new member, id %llx; it votes once an operator has "
                 "added it (ferryctl plan replace)",
@@ -249,9 +249,9 @@
         initial_members(s, &disk->restore.members);
         return true;
     }
-    if (bootstrap && disk->fresh)
+    if (bootstrap && disk->created)
         initial_members(s, &disk->restore.members);
-    return ct_initial_voters(n, bootstrap && disk->fresh, &disk->restore.members, err);
+    return ct_initial_voters(n, bootstrap && disk->created, &disk->restore.members, err);
 }
 
 static void restore_view(struct ct_node *n, const struct so_loaded *disk)
--- a/limit/limit.h
+++ b/limit/limit.h
@@ -8,14 +8,14 @@
  * - Permits that are not used yet are either in the account's bucket at the leader or
  *   outstanding, at nodes. Together they are at most the depth of the bucket, and new permits
  *   are added at a steady refill rate. An outstanding permit is counted until its holder
- *   reports it as used, or until the holder has not renewed it for LM_LIFE_US: then the permit
- *   expires.
+ *   reports it as used, or until the holder has not renewed it for LM_PERMIT_LIFE_US: then the
+ * permit expires.
  * - A new leader does not know the permits that earlier leaders granted. They are at most
- *   LM_OUT_PART of the depth. Until they have expired, the bucket, which is empty at first,
- *   fills at the account's rate, but the bound on the unused permits of the new leader grows so
- *   slowly that these, together with those of any leader that led for a moment before it, are
- *   never more than the rest of the depth. Permits that are reported as used make room for
- *   others.
+ *   LM_OUTSTANDING_PART of the depth. Until they have expired, the bucket, which is empty at
+ * first, fills at the account's rate, but the bound on the unused permits of the new leader
+ * grows so slowly that these, together with those of any leader that led for a moment before
+ * it, are never more than the rest of the depth. Permits that are reported as used make room
+ * for others.
  * - So the operations that begin in any window are at most depth + refill rate x window. Depth
  *   and refill rate are chosen so that this is rate x window + burst + four fifths of the
  *   tolerance. */
@@ -30,18 +30,18 @@
 
 enum {
     LM_NAME = IX_NAME,
-    LM_MOST = 1000000, /* maximum number of permits in a message */
+    LM_MAX_PERMITS = 1000000, /* maximum number of permits in a message */
     /* Permits expire this long after the last renewal that was answered. It is the duration of
      * the platform's lease. A lost leader is replaced within 0.4 s and a control VM is back
      * after 1.2 to 1.5 s; operations that begin in the meantime use permits that their node
      * has. */
-    LM_LIFE_US = 1200000,
+    LM_PERMIT_LIFE_US = 1200000,
 };
 /* Part of the depth that may be outstanding at most. */
-#define LM_OUT_PART 0.55
+#define LM_OUTSTANDING_PART 0.55
 /* While less than this part of the depth is outstanding, a node gets as many permits as it
  * wants. Above it each grant is one permit, for an operation that waits. */
-#define LM_STOCK_PART 0.45
+#define LM_PREFETCH_PART 0.45
 
 /* How exactly limits are kept: in any window the operations of an account are at most
  * (rate x window + burst) x (1 + overrun) + slack. */
@@ -122,14 +122,14 @@
                       const struct lm_report *r, uint64_t applied_seq, uint64_t seq,
                       int64_t now, struct lm_grant *out);
 /* Upper bound of the account's permits that are outstanding. */
-double lm_out(const struct lm_allocator *g, const char *name, int64_t now);
+double lm_outstanding(const struct lm_allocator *g, const char *name, int64_t now);
 
 /* ---- pool: a node where operations begin ---- */
 
 enum lm_verdict {
-    LM_GO,   /* a permit was taken */
-    LM_WAIT, /* the node has no permit; one is requested from the leader */
-    LM_OVER, /* the account is over its limit */
+    LM_ADMIT,  /* a permit was taken */
+    LM_WAIT,   /* the node has no permit; one is requested from the leader */
+    LM_REFUSE, /* the account is over its limit */
 };
 
 /* Classes of operations in the order in which they are served: priority 0, 1, and all others.
@@ -137,7 +137,7 @@
 enum { LM_CLASSES = 3 };
 
 /* Demand of a class: its operations, whether or not they get a permit. */
-struct lm_asked {
+struct lm_demand {
     double rate;   /* operations per second, smoothed */
     int64_t at;    /* time of the last operation */
     int n_refused; /* refusals since the last permit */
@@ -157,7 +157,7 @@
     int64_t over_until;   /* the account is over its limit until then; 0: it is not */
     int n_requested;      /* permits requested in the last report of the account */
     int64_t scarce_until; /* permits count as scarce until then */
-    struct lm_asked demand[LM_CLASSES];
+    struct lm_demand demand[LM_CLASSES];
     int reported_held; /* permits that the leader counts for this node, as far as the node
                      knows; below 0: the leader knows nothing of this node */
 };
@@ -170,15 +170,15 @@
 int64_t lm_retry_us(const struct lm_pool *s, int64_t now);
 /* Charges a permit for a second attempt of an admitted operation. The attempt does not wait for
  * a permit. */
-void lm_extra(struct lm_pool *s);
+void lm_charge_retry(struct lm_pool *s);
 /* Fills the report for the next renewal, giving back permits that are too many. Returns false
  * if there is nothing to report. */
 bool lm_make_report(struct lm_pool *s, int64_t now, struct lm_report *out);
 void lm_apply_grant(struct lm_pool *s, const struct lm_grant *a, int64_t now);
 /* The permits of the node have expired. */
-void lm_void(struct lm_pool *s);
+void lm_expire(struct lm_pool *s);
 /* Called for a new leader, which does not know the permits of this node: the next
  * lm_make_report reports them in any case. */
-void lm_tell_anew(struct lm_pool *s);
+void lm_forget_reported(struct lm_pool *s);
 
 #endif
--- a/limit/stock.c
+++ b/limit/pool.c
@@ -9,8 +9,8 @@
  * for so many permits if the limit is 1.6 times the actual use, as users set it. */
 #define COVER_S 1.1
 #define SMOOTH_S 1.0 /* time constant of the smoothed rates */
-/* Permits are reserved for the expected demand of the classes before in this time: the interval
- * between two renewals. */
+/* Permits are reserved for the operations that the classes served first are expected to begin
+ * in this time, which is the interval between two renewals. */
 #define AHEAD_S 0.2
 /* A class with an expected demand of at most this many operations in AHEAD_S is idle. */
 #define IDLE_OPERATIONS 0.1
@@ -21,7 +21,8 @@
      * after one or two renewals. */
     SCARCE_RETRY_US = 300000,
     MAX_REFUSALS = 12, /* then the class may take a permit that is reserved for others */
-    /* If the next permit is expected within this time, the first class waits for it. */
+    /* If the next permit is expected within this time, the class that is served first waits for
+       it. */
     SHORT_PAUSE_US = 100000,
 };
 
@@ -40,12 +41,12 @@
 
 /* ---- classes ---- */
 
-static double demand_now(const struct lm_asked *a, int64_t now)
+static double demand_now(const struct lm_demand *a, int64_t now)
 {
     return a->rate * exp(-(double)(now - a->at) / 1e6 / SMOOTH_S);
 }
 
-static void note_demand(struct lm_asked *a, int64_t now)
+static void note_demand(struct lm_demand *a, int64_t now)
 {
     a->rate = demand_now(a, now) + 1 / SMOOTH_S;
     a->at = now;
@@ -82,12 +83,13 @@
 }
 
 /* The verdict if there is no permit: the operation waits for the next grant or is refused. The
- * first class waits through a short pause, since the next permits are reserved for it. */
+ * class that is served first waits through a short pause, since the next permits are reserved
+ * for it. */
 static enum lm_verdict verdict_without_permit(struct lm_pool *s, int class, int64_t now)
 {
     bool pause = now < s->over_until;
     if (pause && (s->over_until - now > SHORT_PAUSE_US || !is_first_class(s, class, now)))
-        return LM_OVER;
+        return LM_REFUSE;
     if (!pause)
         s->waiting++;
     return LM_WAIT;
@@ -102,10 +104,10 @@
         s->held--;
         s->demand[class].n_refused = 0;
         note_operation(s, now);
-        return LM_GO;
+        return LM_ADMIT;
     }
-    enum lm_verdict v = s->held > 0 ? LM_OVER : verdict_without_permit(s, class, now);
-    s->demand[class].n_refused += v == LM_OVER;
+    enum lm_verdict v = s->held > 0 ? LM_REFUSE : verdict_without_permit(s, class, now);
+    s->demand[class].n_refused += v == LM_REFUSE;
     return v;
 }
 
@@ -115,7 +117,7 @@
     return now < s->scarce_until && us < SCARCE_RETRY_US ? SCARCE_RETRY_US : us;
 }
 
-void lm_extra(struct lm_pool *s)
+void lm_charge_retry(struct lm_pool *s)
 {
     s->held--;
 }
@@ -157,13 +159,13 @@
     s->n_requested = 0;
 }
 
-void lm_void(struct lm_pool *s)
+void lm_expire(struct lm_pool *s)
 {
     if (s->held > 0)
         s->held = 0;
 }
 
-void lm_tell_anew(struct lm_pool *s)
+void lm_forget_reported(struct lm_pool *s)
 {
     s->reported_held = -1;
 }
--- a/proxy/limits.c
+++ b/proxy/limits.c
@@ -32,7 +32,7 @@
 static void throw_away(struct px_proxy *p)
 {
     for (int i = 0; i < p->n_accounts; i++)
-        lm_void(&p->accounts[i].permits);
+        lm_expire(&p->accounts[i].permits);
 }
 
 static void end_if_due(struct px_proxy *p, int64_t now)
@@ -43,7 +43,7 @@
 
 void px_permits_renewed(struct px_proxy *p, int64_t sent)
 {
-    int64_t now = ck_now(), until = sent + LM_LIFE_US;
+    int64_t now = ck_now(), until = sent + LM_PERMIT_LIFE_US;
     end_if_due(p, now);
     if (until > now && until > p->permits_expire_at)
         p->permits_expire_at = until;
@@ -65,11 +65,11 @@
 enum lm_verdict px_permit_take(struct px_session *s)
 {
     if (s->permit != PX_PERMIT_NEEDED)
-        return LM_GO;
+        return LM_ADMIT;
     end_if_due(s->p, ck_now());
     struct px_account *a = account_of(s->p, s->account);
     enum lm_verdict v = lm_take(&a->permits, s->route.priority, ck_now());
-    if (v == LM_GO) {
+    if (v == LM_ADMIT) {
         s->permit = PX_PERMIT_TAKEN;
         px_stage_done(s, PX_T_PERMIT);
         a->begun++;
@@ -82,7 +82,7 @@
 void px_permit_charge_retry(struct px_session *s)
 {
     if (s->permit == PX_PERMIT_TAKEN)
-        lm_extra(&account_of(s->p, s->account)->permits);
+        lm_charge_retry(&account_of(s->p, s->account)->permits);
 }
 
 void px_refuse_over_limit(struct px_session *s)
@@ -111,7 +111,7 @@
         if (!has_limit(p, a->name))
             continue;
         if (p->permits_unreported)
-            lm_tell_anew(&a->permits);
+            lm_forget_reported(&a->permits);
         if (lm_make_report(&a->permits, ck_now(), &m))
             out[r->n_permits++] = (struct wr_permit_ask){
                 sr_from(a->name), (uint32_t)m.held, (uint32_t)m.want, (uint32_t)m.returned};
@@ -133,7 +133,7 @@
 void px_permits_granted(struct px_proxy *p, int64_t sent, const struct wr_permit *permits,
                         uint32_t n)
 {
-    if (sent + LM_LIFE_US <= ck_now())
+    if (sent + LM_PERMIT_LIFE_US <= ck_now())
         return; /* a VM that was frozen: the leader has forgotten them */
     px_permits_renewed(p, sent);
     for (uint32_t i = 0; i < n; i++) {
--- a/proxy/work.c
+++ b/proxy/work.c
@@ -33,7 +33,7 @@
 {
     struct px_proxy *p = s->p;
     s->arrived = s->stage_since = ck_now();
-    s->deadline = s->arrived + s->route.limit_us;
+    s->deadline = s->arrived + s->route.timeout_us;
     s->attempts = s->offers = 0;
     s->skip_mask = 0;
     s->pace_kind = px_statement_kind(sr_from(s->database), s->writes);
@@ -143,7 +143,7 @@
 {
     int64_t now = ck_now();
     enum lm_verdict permit = px_permit_take(s);
-    if (permit == LM_OVER) {
+    if (permit == LM_REFUSE) {
         px_refuse_over_limit(s);
         return;
     }
@@ -187,7 +187,7 @@
 
 static int64_t patience(const struct px_session *s)
 {
-    int64_t by_aim = s->route.aim_us * HEDGE_PERCENT / 100;
+    int64_t by_aim = s->route.target_us * HEDGE_PERCENT / 100;
     int64_t by_pace = s->inst->service_us * HEDGE_TIMES;
     return by_aim > by_pace ? by_aim : by_pace;
 }
@@ -209,7 +209,7 @@
 
 static int64_t longest_wait(const struct px_session *s)
 {
-    int64_t us = s->route.aim_us * WAIT_PERCENT / 100;
+    int64_t us = s->route.target_us * WAIT_PERCENT / 100;
     return us > LEAST_WAIT_US ? us : LEAST_WAIT_US;
 }
 
--- a/quorum/quorum.h
+++ b/quorum/quorum.h
@@ -54,11 +54,11 @@
 
 enum qr_msg_type {
     QR_PREVOTE,
-    QR_PREVOTE_R,
+    QR_PREVOTE_REPLY,
     QR_VOTE,
-    QR_VOTE_R,
+    QR_VOTE_REPLY,
     QR_APPEND,
-    QR_APPEND_R,
+    QR_APPEND_REPLY,
     QR_SNAP,
     QR_TIMEOUT_NOW, /* the leader transfers its leadership: start an election at once */
 };
@@ -74,7 +74,7 @@
     bool transfer;  /* vote request of a leadership transfer */
     /* In a pre-vote and its reply: the sender has seen no leader since it started. In a vote
      * request: all voters reported so. */
-    bool fresh;
+    bool no_leader_seen;
     uint32_t n;
     const struct qr_entry *entries;
     const struct qr_members *members; /* QR_SNAP */
--- a/tests/unit/test_limit.c
+++ b/tests/unit/test_limit.c
@@ -153,10 +153,10 @@
     if (!m)
         return;
     if (w.now >= n->until && w.without != VOIDING)
-        lm_void(&n->stock);
+        lm_expire(&n->stock);
     m->all = n->untold;
     if (n->untold && w.without != TELLING)
-        lm_tell_anew(&n->stock);
+        lm_forget_reported(&n->stock);
     n->untold = false;
     m->reign = n->reign;
     m->sent = w.now;
@@ -193,8 +193,8 @@
     n->has = m->seq;
     n->untold = !m->knows;
     if (w.now >= n->until && w.without != VOIDING)
-        lm_void(&n->stock);
-    int64_t until = m->sent + LM_LIFE_US;
+        lm_expire(&n->stock);
+    int64_t until = m->sent + LM_PERMIT_LIFE_US;
     if (n->untold || until <= w.now)
         return;
     n->until = until > n->until ? until : n->until;
@@ -248,13 +248,13 @@
         if (w.now >= n->until && w.without != VOIDING)
             return;
         enum lm_verdict v = lm_take(&n->stock, 0, w.now);
-        w.refused += v == LM_OVER;
+        w.refused += v == LM_REFUSE;
         w.waited += v == LM_WAIT;
-        if (v != LM_GO)
+        if (v != LM_ADMIT)
             continue;
         count(w.now + (w.exact ? 0 : (int64_t)rn_below(&w.rng, LATE_US / 10)));
         if (!w.exact && rn_below(&w.rng, 20) == 0) { /* its answer was lost: it runs again */
-            lm_extra(&n->stock);
+            lm_charge_retry(&n->stock);
             count(w.now + (int64_t)rn_below(&w.rng, LATE_US / 10));
         }
     }
@@ -337,7 +337,7 @@
         const struct mail *m = &w.mail[i];
         const struct node *n = &w.nodes[m->node];
         bool comes = m->used && m->answer && n->id == m->life && n->reign == m->reign &&
-                     m->sent + LM_LIFE_US > w.now;
+                     m->sent + LM_PERMIT_LIFE_US > w.now;
         unused += comes ? m->answered.given : 0;
     }
     double most = depth_of(w.rate, w.burst), old = depth_of(w.old_rate, w.old_burst);
@@ -437,7 +437,7 @@
             bool counts = t >= CK_SEC(WARM); /* its bucket is empty at first */
             bool op = (double)rn_below(&rng, 1000000) < per_s / nodes * TICK_US;
             bool renews = (t / TICK_US + k) % 200 == 0;
-            enum lm_verdict v = op ? lm_take(&stock[k], 0, now) : LM_GO;
+            enum lm_verdict v = op ? lm_take(&stock[k], 0, now) : LM_ADMIT;
             struct lm_report r;
             struct lm_grant a;
             if (renews || v == LM_WAIT) {
@@ -450,7 +450,7 @@
             if (v == LM_WAIT)
                 v = lm_take(&stock[k], 0, now);
             asked += counts && op;
-            refused += counts && op && v == LM_OVER;
+            refused += counts && op && v == LM_REFUSE;
             again += counts && op && v == LM_WAIT;
         }
     }
@@ -485,8 +485,9 @@
     lm_renewed(&g, 1, true, CK_SEC(60));
     CU_ASSERT_TRUE(lm_handle_report(&g, "some", 1, &r, 0, 2, CK_SEC(60), &a));
     CU_ASSERT(a.given > 0 && a.given <= bound_of(5, 5, false));
-    CU_ASSERT_EQUAL((int)lm_out(&g, "some", CK_SEC(60) + LM_LIFE_US), a.given);
-    CU_ASSERT_EQUAL((int)lm_out(&g, "some", CK_SEC(62)), 0); /* not renewed, they have ended */
+    CU_ASSERT_EQUAL((int)lm_outstanding(&g, "some", CK_SEC(60) + LM_PERMIT_LIFE_US), a.given);
+    CU_ASSERT_EQUAL((int)lm_outstanding(&g, "some", CK_SEC(62)),
+                    0); /* not renewed, they have ended */
     CU_ASSERT_FALSE(lm_handle_report(&g, "unknown", 1, &r, 0, 3, 1, &a));
     lm_sweep(&g);
     lm_set(&g, "some", 5, 5, CK_SEC(62));
--- a/tests/unit/test_permits.c
+++ b/tests/unit/test_permits.c
@@ -19,7 +19,7 @@
     lm_renewed(&g, 2, true, CK_SEC(7));
     lm_handle_report(&g, "a", 2, &r, 0, 2, CK_SEC(7), &a);
     CU_ASSERT_EQUAL(a.given, 5);
-    CU_ASSERT_EQUAL((int)lm_out(&g, "a", CK_SEC(7)), 5);
+    CU_ASSERT_EQUAL((int)lm_outstanding(&g, "a", CK_SEC(7)), 5);
     lm_free(&g);
 }
 
@@ -40,7 +40,7 @@
         asked += ms * ASKED / 1000 > (ms - 1) * ASKED / 1000;
         struct lm_report r;
         struct lm_grant a;
-        while (served < asked && lm_take(&stock, 0, now) == LM_GO)
+        while (served < asked && lm_take(&stock, 0, now) == LM_ADMIT)
             served++;
         lm_renewed(&g, NODE, true, now);
         if (!lm_make_report(&stock, now, &r))
@@ -82,10 +82,10 @@
         if (k > (ms - 1) * ASKED / 1000) {
             enum lm_verdict v = lm_take(&stock, priority, now);
             asked[priority]++;
-            begun[priority] += v == LM_GO;
+            begun[priority] += v == LM_ADMIT;
             waits += priority == 0 && v == LM_WAIT;
         }
-        while (ms % LOOK_MS == 0 && waits > 0 && lm_take(&stock, 0, now) == LM_GO) {
+        while (ms % LOOK_MS == 0 && waits > 0 && lm_take(&stock, 0, now) == LM_ADMIT) {
             begun[0]++;
             waits--;
         }
