--- a/control/control.c
+++ b/control/control.c
@@ -59,7 +59,7 @@
     n->force_gen = 0;
     n->in_force_since = 0;
     n->news = (struct vp_batch){0};
-    n->pace = (struct vp_pace){0};
+    n->pace = (struct vp_limiter){0};
     vp_tick(&n->pace, 0, 0, now);
     ls_giver_begin(&n->giver, CK_MS(n->s->lease_ms), now, first);
     /* Instances that count their connections themselves refuse one too many, at the cost of a
--- a/control/control.h
+++ b/control/control.h
@@ -200,10 +200,10 @@
     struct ct_group **groups;
     struct ix_index group_at, inst_at; /* number in `groups` by group, by instance */
     unsigned ticks;
-    int watch_next;       /* group that the next tick begins with; -1: the first */
-    int lines_left;       /* connections to instances that this tick may make or close */
-    struct vp_batch news; /* instances that came or go, not told to entry nodes yet */
-    struct vp_pace pace;  /* of views to entry nodes; a new leader begins anew */
+    int watch_next;         /* group that the next tick begins with; -1: the first */
+    int lines_left;         /* connections to instances that this tick may make or close */
+    struct vp_batch news;   /* instances that came or go, not told to entry nodes yet */
+    struct vp_limiter pace; /* of views to entry nodes; a new leader begins anew */
     struct ct_frame changes_frame, whole_frame; /* of the view, as sent last */
     struct ct_frame nodes_changes, nodes_whole; /* of the list of nodes */
     /* leading */
--- a/control/nodes.c
+++ b/control/nodes.c
@@ -295,9 +295,9 @@
 {
     int64_t heard = qr_vouched_until(n->q) - CK_MS(n->s->election_ms);
     int64_t late = CK_MS(n->s->heartbeat_ms) * LATE_HEARTBEATS;
-    bool held = !vp_may(&n->pace);
+    bool held = !vp_may_send(&n->pace);
     vp_tick(&n->pace, now - heard, late, now);
-    if (held && vp_may(&n->pace))
+    if (held && vp_may_send(&n->pace))
         ct_push_view(n);
 }
 
--- a/control/turn.h
+++ b/control/turn.h
@@ -14,11 +14,11 @@
 };
 
 /* Whether the view may go out now; else it waits. */
-static inline bool tu_take(struct tu_turn *t, const struct vp_pace *p, int64_t now)
+static inline bool tu_take(struct tu_turn *t, const struct vp_limiter *p, int64_t now)
 {
     if (!t->due)
         t->since = now;
-    return vp_take(p, &t->due);
+    return vp_send_or_defer(p, &t->due);
 }
 
 /* Whether a lease is granted for the older view. Not for long: what is in force elsewhere would
--- a/tests/unit/test_push.c
+++ b/tests/unit/test_push.c
@@ -24,7 +24,7 @@
 /* A link is a line of bytes that it carries in order. */
 static struct outcome send_all(int64_t bytes_a_second, bool paced)
 {
-    struct vp_pace p = {0};
+    struct vp_limiter p = {0};
     struct outcome o = {0};
     int64_t free_at = 0, heard = 0, now = 0, beat_arrives = 0, beat_sent = 0, next_beat = 0;
     int sent = 0;
@@ -39,7 +39,7 @@
         if (now >= beat_arrives)
             heard = beat_sent;
         vp_tick(&p, now - heard, BOUND_US, now);
-        while (sent < NODES && (!paced || vp_may(&p))) {
+        while (sent < NODES && (!paced || vp_may_send(&p))) {
             vp_spent(&p, VIEW_BYTES);
             free_at = (free_at > now ? free_at : now) +
                       (int64_t)VIEW_BYTES * 1000000 / bytes_a_second;
@@ -129,13 +129,13 @@
 /* What a small deployment sends goes out at once. */
 static void small_views_are_not_held(void)
 {
-    struct vp_pace p = {0};
+    struct vp_limiter p = {0};
     vp_tick(&p, 0, BOUND_US, CK_SEC(1));
     for (int i = 0; i < 12; i++) {
-        CU_ASSERT_TRUE(vp_may(&p));
+        CU_ASSERT_TRUE(vp_may_send(&p));
         vp_spent(&p, 4000);
     }
-    CU_ASSERT_TRUE(vp_may(&p));
+    CU_ASSERT_TRUE(vp_may_send(&p));
 }
 
 /* Load: 300 nodes that come back ask once each for a whole view of 5 KB. Those that are held
@@ -143,13 +143,13 @@
 static void what_is_held_goes_out_by_itself(void)
 {
     enum { WHOLE_BYTES = 5000, WITHIN_US = 200000 };
-    struct vp_pace p = {0};
+    struct vp_limiter p = {0};
     bool due[NODES];
     int left = NODES;
     int64_t now = CK_SEC(1);
     vp_tick(&p, 0, BOUND_US, now);
     for (int i = 0; i < NODES; i++) { /* all ask */
-        if (vp_take(&p, &due[i])) {
+        if (vp_send_or_defer(&p, &due[i])) {
             vp_spent(&p, WHOLE_BYTES);
             left--;
         }
@@ -158,7 +158,7 @@
     for (; left > 0 && now < CK_SEC(1) + WITHIN_US; now += TICK_US) {
         vp_tick(&p, HEARTBEAT_US, BOUND_US, now);
         for (int i = 0; i < NODES; i++) {
-            if (!due[i] || !vp_take(&p, &due[i]))
+            if (!due[i] || !vp_send_or_defer(&p, &due[i]))
                 continue;
             vp_spent(&p, WHOLE_BYTES);
             left--;
@@ -178,19 +178,19 @@
         LEASE_US = 1200000,
         RENEW_US = 300000
     };
-    struct vp_pace p = {0};
+    struct vp_limiter p = {0};
     int lost = 0;
     for (int i = 0; i < LOSING; i++) { /* node i is the i-th of those in line */
         struct tu_turn turn = {0};
         struct ls_holder h = {0};
         int64_t sent_at = 0, ahead = i, now = CK_SEC(1);
         bool live = true;
-        p = (struct vp_pace){0};
+        p = (struct vp_limiter){0};
         ls_granted(&h, ls_sent(&h, now - (i % 4) * RENEW_US / 4), LEASE_US);
         for (int64_t tick = 0; live && tick < LEASE_US * 2; tick += TICK_US) {
             int64_t t = now + tick;
             vp_tick(&p, 0, BOUND_US, t);
-            for (; ahead > 0 && vp_may(&p); ahead--)
+            for (; ahead > 0 && vp_may_send(&p); ahead--)
                 vp_spent(&p, VIEW);
             if (!sent_at && tu_take(&turn, &p, t))
                 sent_at = t;
--- a/view/push.c
+++ b/view/push.c
@@ -23,7 +23,7 @@
     return v < least ? least : v > most ? most : v;
 }
 
-static void slow_down(struct vp_pace *p, int64_t now)
+static void slow_down(struct vp_limiter *p, int64_t now)
 {
     if (p->credit_bytes > 0)
         p->credit_bytes = 0;
@@ -33,10 +33,10 @@
     p->rate = clamp(p->rate / 2, MIN_BYTES_PER_S, MAX_BYTES_PER_S);
 }
 
-void vp_tick(struct vp_pace *p, int64_t lag_us, int64_t bound_us, int64_t now)
+void vp_tick(struct vp_limiter *p, int64_t lag_us, int64_t bound_us, int64_t now)
 {
     if (p->rate == 0)
-        *p = (struct vp_pace){
+        *p = (struct vp_limiter){
             .rate = START_BYTES_PER_S, .credit_bytes = BURST_BYTES, .ticked_at = now};
     int64_t elapsed_us = clamp(now - p->ticked_at, 0, SECOND_US);
     p->ticked_at = now;
@@ -51,18 +51,18 @@
                             -MAX_BYTES_PER_S, BURST_BYTES);
 }
 
-bool vp_may(const struct vp_pace *p)
+bool vp_may_send(const struct vp_limiter *p)
 {
     return p->credit_bytes > 0;
 }
 
-bool vp_take(const struct vp_pace *p, bool *due)
+bool vp_send_or_defer(const struct vp_limiter *p, bool *due)
 {
-    *due = !vp_may(p);
+    *due = !vp_may_send(p);
     return !*due;
 }
 
-void vp_spent(struct vp_pace *p, int64_t bytes)
+void vp_spent(struct vp_limiter *p, int64_t bytes)
 {
     p->credit_bytes -= bytes;
 }
--- a/view/push.h
+++ b/view/push.h
@@ -14,7 +14,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-struct vp_pace {
+struct vp_limiter {
     int64_t rate;         /* bytes per second; 0 before the first tick */
     int64_t credit_bytes; /* bytes that may be sent now; negative after an overrun */
     int64_t ticked_at;    /* time of the latest tick */
@@ -23,15 +23,15 @@
 
 /* Called regularly while leading. `lag_us` is the time since the newest heartbeat that a quorum
  * has acknowledged was sent; above `bound_us` the quorum's reply is late. */
-void vp_tick(struct vp_pace *p, int64_t lag_us, int64_t bound_us, int64_t now);
+void vp_tick(struct vp_limiter *p, int64_t lag_us, int64_t bound_us, int64_t now);
 /* Whether another view may be sent now. */
-bool vp_may(const struct vp_pace *p);
+bool vp_may_send(const struct vp_limiter *p);
 /* Whether the view may be sent now to a node that lacks it. If not, *due is set and the caller
  * tries again in the following ticks, because a node has no lease without the view and asks
  * again only 0.2 s later. */
-bool vp_take(const struct vp_pace *p, bool *due);
+bool vp_send_or_defer(const struct vp_limiter *p, bool *due);
 /* A view of this many bytes was sent. */
-void vp_spent(struct vp_pace *p, int64_t bytes);
+void vp_spent(struct vp_limiter *p, int64_t bytes);
 
 /* Collects changes that can be delayed and sent to the nodes together.
  *
