--- a/control/takeovers.c
+++ b/control/takeovers.c
@@ -14,10 +14,10 @@
 {
     const struct st_settings *s = n->s;
     struct tk_config cfg = {.check_us = CK_MS(s->check_ms),
-                            .answer_us = ANSWER_US,
-                            .lead_us = LEAD_US,
-                            .settle_us = SETTLE_US,
-                            .recheck_us = RECHECK_US};
+                            .call_timeout_us = ANSWER_US,
+                            .lead_timeout_us = LEAD_US,
+                            .catch_up_timeout_us = SETTLE_US,
+                            .recheck_delay_us = RECHECK_US};
     tk_begin(&g->tk, &cfg, ck_now());
 }
 
--- a/takeover/takeover.c
+++ b/takeover/takeover.c
@@ -231,7 +231,7 @@
     }
     if (t->checks_unfit > up && should_hand_over(t, g, now, out))
         return;
-    t->recheck_at = now + t->cfg.recheck_us;
+    t->recheck_at = now + t->cfg.recheck_delay_us;
     set_step(t, TK_IDLE, now);
 }
 
@@ -277,7 +277,7 @@
     int64_t waited = now - t->step_at;
     int i = best_candidate(t, g, now);
     bool wait = i < 0 || (!all_status_recent(t) && waited < STATUS_WAIT_US) ||
-                (successor_is_behind(t, g, i) && waited < t->cfg.settle_us);
+                (successor_is_behind(t, g, i) && waited < t->cfg.catch_up_timeout_us);
     if (!wait) {
         send_call(t, i, now, out);
         return;
@@ -304,7 +304,7 @@
         set_step(t, TK_CONCLUDING, now);
         return;
     }
-    bool late = waited > (t->call_done ? t->cfg.lead_us : t->cfg.answer_us);
+    bool late = waited > (t->call_done ? t->cfg.lead_timeout_us : t->cfg.call_timeout_us);
     if (late || in->health == TK_REFUSED) {
         propose_replace(t, g, now, out);
         return;
@@ -322,7 +322,7 @@
     } else if (what == TK_REFUSED_CALL) {
         if (t->target >= 0 && t->target < t->n)
             t->inst[t->target].avoid_until = now + REFUSED_AVOID_US;
-        t->step_at = now - t->cfg.answer_us; /* makes the next attempt begin at once */
+        t->step_at = now - t->cfg.call_timeout_us; /* makes the next attempt begin at once */
     }
 }
 
--- a/takeover/takeover.h
+++ b/takeover/takeover.h
@@ -23,12 +23,13 @@
 #include "view/view.h"
 
 struct tk_config {
-    int64_t check_us;   /* how long entry nodes have to reply to a check */
-    int64_t answer_us;  /* a call without a reply is made again after this */
-    int64_t lead_us;    /* the instance of a call must report that it is primary within this */
-    int64_t settle_us;  /* how long a successor may take to receive all writes of a draining
-                           primary */
-    int64_t recheck_us; /* after entry nodes saw the primary up, check again after this */
+    int64_t check_us;        /* how long entry nodes have to reply to a check */
+    int64_t call_timeout_us; /* a call without a reply is made again after this */
+    int64_t
+        lead_timeout_us; /* the instance of a call must report that it is primary within this */
+    int64_t catch_up_timeout_us; /* how long a successor may take to receive all writes of a
+                          draining primary */
+    int64_t recheck_delay_us; /* after entry nodes saw the primary up, check again after this */
 };
 
 /* TK_UNFIT: the instance is alive, but another one should lead. Only entry nodes report it. */
--- a/tests/unit/test_takeover.c
+++ b/tests/unit/test_takeover.c
@@ -29,10 +29,10 @@
 static void fresh(void)
 {
     static const struct tk_config cfg = {.check_us = CK_MS(100),
-                                         .answer_us = CK_MS(1000),
-                                         .lead_us = CK_MS(3000),
-                                         .settle_us = CK_MS(500),
-                                         .recheck_us = CK_MS(200)};
+                                         .call_timeout_us = CK_MS(1000),
+                                         .lead_timeout_us = CK_MS(3000),
+                                         .catch_up_timeout_us = CK_MS(500),
+                                         .recheck_delay_us = CK_MS(200)};
     static const char *const ids[] = {"a", "b", "c"};
     now = CK_SEC(10);
     g = (struct vw_group){.phase = VW_SERVING, .term = 1, .n = 3, .target = -1};
