--- a/control/peers.c
+++ b/control/peers.c
@@ -97,7 +97,7 @@
                                 .port = (uint32_t)n->s->control_port,
                                 .role = WR_ROLE_CONTROL,
                                 .id = n->id,
-                                .expect = expect};
+                                .expected_id = expect};
     send_on(n, net, &m);
 }
 
@@ -237,8 +237,8 @@
     c->role = h->role;
     c->id = h->id;
     c->port = (int)h->port;
-    c->carries = (int)h->carries;
-    c->http = (int)h->http;
+    c->carries = (int)h->capacity;
+    c->http = (int)h->http_port;
     if (c->role == WR_ROLE_CONTROL && !peer_of(n, c->id)) {
         struct qr_member m = {.id = c->id, .port = c->port};
         sr_copy(m.name, sizeof(m.name), sr_from(c->name));
--- a/entry/link.c
+++ b/entry/link.c
@@ -261,7 +261,7 @@
 
 static bool read_node(const struct wr_node *x, struct ho_node *to)
 {
-    *to = (struct ho_node){.port = (int)x->port, .carries = (int)x->carries};
+    *to = (struct ho_node){.port = (int)x->port, .carries = (int)x->capacity};
     return sr_copy(to->name, sizeof(to->name), x->name) &&
            sr_copy(to->domain, sizeof(to->domain), x->domain) &&
            sr_copy(to->ip, sizeof(to->ip), x->ip);
@@ -478,8 +478,8 @@
                           .port = (uint32_t)callers_port(s),
                           .role = s->observer ? WR_ROLE_OBSERVER : WR_ROLE_ENTRY,
                           .id = l->node->id,
-                          .carries = (uint32_t)cp_statements(s->link_kbps, s->core_permille),
-                          .http = (uint32_t)s->entry_port};
+                          .capacity = (uint32_t)cp_statements(s->link_kbps, s->core_permille),
+                          .http_port = (uint32_t)s->entry_port};
     send_msg(l, &m);
 }
 
--- a/wire/decode.c
+++ b/wire/decode.c
@@ -116,9 +116,9 @@
     h->port = get_max(r, 65535);
     h->role = (enum wr_role)get_max(r, WR_ROLE_OBSERVER);
     h->id = get_u(r);
-    h->expect = get_u(r);
-    h->carries = get_max(r, CP_MOST);
-    h->http = get_max(r, 65535);
+    h->expected_id = get_u(r);
+    h->capacity = get_max(r, CP_MOST);
+    h->http_port = get_max(r, 65535);
 }
 
 static const struct qr_members *get_members(struct reader *r)
@@ -305,7 +305,7 @@
         m->nodes[i].domain = get_s(&one);
         m->nodes[i].ip = get_s(&one);
         m->nodes[i].port = get_max(&one, 65535);
-        m->nodes[i].carries = get_max(&one, CP_MOST);
+        m->nodes[i].capacity = get_max(&one, CP_MOST);
         r->bad = r->bad || one.bad || list.bad;
     }
 }
@@ -437,7 +437,7 @@
         return "it uses another protocol version";
     if (!sr_eq(h->cluster, sr_from(cluster)))
         return "it belongs to another cluster";
-    if (h->expect && h->expect != id)
+    if (h->expected_id && h->expected_id != id)
         return "it expects another identity: this data folder is not the known one";
     return h->id ? NULL : "its greeting has no identity";
 }
--- a/wire/encode.c
+++ b/wire/encode.c
@@ -50,7 +50,7 @@
 
 static void put_hello(msgpack_packer *pk, const struct wr_hello *h)
 {
-    put_header(pk, WR_HELLO, h->http ? 11 : 9u + (h->carries > 0));
+    put_header(pk, WR_HELLO, h->http_port ? 11 : 9u + (h->capacity > 0));
     put_u(pk, h->version);
     put_s(pk, h->cluster);
     put_s(pk, h->name);
@@ -59,11 +59,11 @@
     put_u(pk, h->port);
     put_u(pk, h->role);
     put_u(pk, h->id);
-    put_u(pk, h->expect);
-    if (h->carries || h->http)
-        put_u(pk, h->carries);
-    if (h->http)
-        put_u(pk, h->http);
+    put_u(pk, h->expected_id);
+    if (h->capacity || h->http_port)
+        put_u(pk, h->capacity);
+    if (h->http_port)
+        put_u(pk, h->http_port);
 }
 
 static void put_members(msgpack_packer *pk, const struct qr_members *m)
@@ -212,13 +212,13 @@
 {
     msgpack_pack_array(pk, n->n);
     for (uint32_t i = 0; i < n->n; i++) {
-        msgpack_pack_array(pk, 4u + (n->nodes[i].carries > 0));
+        msgpack_pack_array(pk, 4u + (n->nodes[i].capacity > 0));
         put_s(pk, n->nodes[i].name);
         put_s(pk, n->nodes[i].domain);
         put_s(pk, n->nodes[i].ip);
         put_u(pk, n->nodes[i].port);
-        if (n->nodes[i].carries)
-            put_u(pk, n->nodes[i].carries);
+        if (n->nodes[i].capacity)
+            put_u(pk, n->nodes[i].capacity);
     }
 }
 
--- a/wire/wire.h
+++ b/wire/wire.h
@@ -58,10 +58,10 @@
     struct sr_str cluster, name, domain, ip;
     uint32_t port; /* control: for other nodes; entry: for callers */
     enum wr_role role;
-    uint64_t id;      /* control: the identity on disk; others: drawn at start */
-    uint64_t expect;  /* control: the identity expected of the receiver; 0: any */
-    uint32_t carries; /* entry: statements per second (route/capacity.h); 0: unknown */
-    uint32_t http;    /* entry: port of its HTTP interface; 0: unknown */
+    uint64_t id;          /* control: the identity on disk; others: drawn at start */
+    uint64_t expected_id; /* control: the identity expected of the receiver; 0: any */
+    uint32_t capacity;    /* entry: statements per second (route/capacity.h); 0: unknown */
+    uint32_t http_port;   /* entry: port of its HTTP interface; 0: unknown */
 };
 
 struct wr_share {
@@ -138,8 +138,8 @@
 
 struct wr_node {
     struct sr_str name, domain, ip;
-    uint32_t port;    /* for callers */
-    uint32_t carries; /* WR_NODES: statements per second; 0: unknown */
+    uint32_t port;     /* for callers */
+    uint32_t capacity; /* WR_NODES: statements per second; 0: unknown */
 };
 
 /* WR_CONTROLS: a list. WR_NODES: the difference between two lists (route/nodelist.h). */
