--- a/registry/registry.c
+++ b/registry/registry.c
@@ -66,7 +66,7 @@
     int i = g ? vw_instance(g, b->inst.id) : -1;
     if (i >= 0)
         return b->inst.born < g->inst[i].born ? RG_LATE : known(g, i, b, ch);
-    if (vw_is_late(v, b->inst.id, b->inst.born) || (g && succeeded(g, b)))
+    if (vw_start_has_left(v, b->inst.id, b->inst.born) || (g && succeeded(g, b)))
         return RG_LATE;
     name_change(ch, VW_CH_JOIN, b->group, b->inst.id);
     ch->inst = b->inst;
--- a/view/view.c
+++ b/view/view.c
@@ -65,7 +65,7 @@
     return find_departed(v, id) >= 0;
 }
 
-bool vw_is_late(const struct vw_view *v, const char *id, int64_t born)
+bool vw_start_has_left(const struct vw_view *v, const char *id, int64_t born)
 {
     int i = find_departed(v, id);
     return i >= 0 && born <= v->departed_born[i];
@@ -189,7 +189,7 @@
     if (!ch->group[0] || (!g && v->n >= VW_MAX_GROUPS))
         return er_set(err, ER_TOO_LARGE, "group \"%s\": empty name, or %d groups exist",
                       ch->group, VW_MAX_GROUPS);
-    if (vw_is_late(v, ch->inst.id, ch->inst.born))
+    if (vw_start_has_left(v, ch->inst.id, ch->inst.born))
         return er_set(err, ER_STALE_PLAN, "instance %s has left", ch->inst.id);
     if (g && !owner && g->n >= VW_MAX_INSTANCES && find_by_address(g, &ch->inst) < 0)
         return er_set(err, ER_CONFLICT, "group %s has %d instances, the maximum", g->name,
--- a/view/view.h
+++ b/view/view.h
@@ -157,7 +157,7 @@
 bool vw_has_left(const struct vw_view *v, const char *id);
 /* Whether the instance that started at `born` is such a departed instance, or an earlier start
  * under the same id. */
-bool vw_is_late(const struct vw_view *v, const char *id, int64_t born);
+bool vw_start_has_left(const struct vw_view *v, const char *id, int64_t born);
 /* The group of the instance with this id, or NULL. Ids are unique in a cluster, because shares,
  * probes and evidence are keyed by them. */
 const struct vw_group *vw_owner(const struct vw_view *v, const char *id);
