--- a/control/steps.c
+++ b/control/steps.c
@@ -90,7 +90,7 @@
         return;
     struct it_facts f = {.caught_up = ct_caught_up,
                          .in_force = in_force_long(n, now),
-                         .settled = now >= n->shares.quiet_until,
+                         .grants_connections = now >= n->shares.quiet_until,
                          .members = qr_members(n->q),
                          .learner_ready = learner_ready,
                          .ud = n};
--- a/intent/intent.c
+++ b/intent/intent.c
@@ -284,7 +284,7 @@
 static void next_hand_over(const struct vw_group *g, const struct it_request *r,
                            const struct it_facts *f, struct it_action *a)
 {
-    if (!f->settled) {
+    if (!f->grants_connections) {
         wait_for(a, "a new leader deals out no connections yet; %s can wait", g->name);
         return;
     }
--- a/intent/intent.h
+++ b/intent/intent.h
@@ -39,7 +39,7 @@
     bool in_force;
     /* Whether this leader grants connections already. It does not for the duration of a lease
      * after its election, and then a primary on a newly added instance could not be reached. */
-    bool settled;
+    bool grants_connections;
     const struct qr_members *members;
     /* Whether the learner has all committed entries. */
     bool (*learner_ready)(void *ud, uint64_t id);
--- a/tests/unit/test_view.c
+++ b/tests/unit/test_view.c
@@ -401,7 +401,7 @@
           (struct vw_change){.kind = VW_CH_DRAIN, .group = "g", .instance = "a", .flag = true});
     it_next(&v, &r, &f, &a);
     CU_ASSERT_EQUAL(a.kind, IT_WAIT);
-    f.settled = true;
+    f.grants_connections = true;
     it_next(&v, &r, &f, &a);
     CU_ASSERT(a.kind == IT_CHANGE && a.change.kind == VW_CH_HAND);
 }
