--- a/tests/unit/test_text.c
+++ b/tests/unit/test_text.c
@@ -9,7 +9,7 @@
 #include "settings/settings.h"
 #include "tests/unit/unit.h"
 #include "view/view.h"
-#include "wire/claims.h"
+#include "wire/precheck.h"
 #include "wire/wire.h"
 
 enum { FUZZ_ROUNDS = 20000 };
@@ -193,13 +193,13 @@
                 "1234567890123456x"),
          true},
     };
-    char deep[CM_MAX_DEPTH + 2];
+    char deep[WP_MAX_DEPTH + 2];
     for (size_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++)
-        CU_ASSERT_EQUAL(cm_holds(rows[i].bytes.p, rows[i].bytes.len), rows[i].holds);
+        CU_ASSERT_EQUAL(wp_lengths_valid(rows[i].bytes.p, rows[i].bytes.len), rows[i].holds);
     memset(deep, '\x91', sizeof(deep));
     deep[sizeof(deep) - 1] = 1;
-    CU_ASSERT_FALSE(cm_holds(deep, sizeof(deep)));
-    CU_ASSERT_TRUE(cm_holds(deep + 1, sizeof(deep) - 1));
+    CU_ASSERT_FALSE(wp_lengths_valid(deep, sizeof(deep)));
+    CU_ASSERT_TRUE(wp_lengths_valid(deep + 1, sizeof(deep) - 1));
     struct wr_decoder d = {0};
     struct wr_msg m;
     struct er_err err = {0};
--- a/wire/decode.c
+++ b/wire/decode.c
@@ -1,7 +1,7 @@
 /* Decodes untrusted msgpack messages; wire/wire.h describes them. */
 #include "limit/limit.h"
 #include "route/capacity.h"
-#include "wire/claims.h"
+#include "wire/precheck.h"
 #include "wire/wire.h"
 
 #include <stdlib.h>
@@ -313,11 +313,11 @@
 /* Whether a message announces more than it contains. Only arrays and maps with a 32-bit length
  * can announce large sizes. Most messages have none, and msgpack-c itself detects other errors,
  * so only messages that may contain such a length are checked. */
-static bool overclaims(const char *data, size_t len)
+static bool lengths_invalid(const char *data, size_t len)
 {
     enum { LIST_32 = 0xdd, MAP_32 = 0xdf };
     bool may = memchr(data, LIST_32, len) || memchr(data, MAP_32, len);
-    return may && !cm_holds(data, len);
+    return may && !wp_lengths_valid(data, len);
 }
 
 static void get_removed(struct reader *r, struct wr_nodes *m)
@@ -339,7 +339,7 @@
     size_t off = 0;
     if (r->bad || s.len == 0)
         return;
-    if (overclaims(s.p, s.len) ||
+    if (lengths_invalid(s.p, s.len) ||
         msgpack_unpack(s.p, s.len, &off, r->zone, &o) != MSGPACK_UNPACK_SUCCESS) {
         r->bad = true;
         return;
@@ -413,7 +413,7 @@
     msgpack_object o;
     size_t off = 0;
     memset(m, 0, sizeof(*m));
-    if (overclaims(data, len))
+    if (lengths_invalid(data, len))
         return er_set(err, ER_BAD_INPUT,
                       "message of %zu bytes: it announces more than it holds", len);
     msgpack_unpack_return rc = msgpack_unpack(data, len, &off, &d->zone, &o);
--- a/wire/claims.c
+++ b/wire/precheck.c
@@ -1,4 +1,4 @@
-#include "wire/claims.h"
+#include "wire/precheck.h"
 
 #include <stdint.h>
 
@@ -69,10 +69,10 @@
     return ok;
 }
 
-bool cm_holds(const char *data, size_t len)
+bool wp_lengths_valid(const char *data, size_t len)
 {
     struct scan s = {(const unsigned char *)data, len};
-    uint64_t pending[CM_MAX_DEPTH + 1] = {1}; /* values still to be read, by depth */
+    uint64_t pending[WP_MAX_DEPTH + 1] = {1}; /* values still to be read, by depth */
     int depth = 0;
     while (pending[0] > 0 || depth > 0) {
         bool is_list;
@@ -92,7 +92,7 @@
             return false;
         if (!is_list)
             continue;
-        if (n > s.left || depth == CM_MAX_DEPTH)
+        if (n > s.left || depth == WP_MAX_DEPTH)
             return false;
         pending[++depth] = n;
     }
