--- a/control/watch.c
+++ b/control/watch.c
@@ -439,7 +439,7 @@
     const struct pr_inst *p = pr_inst_of(g, v->inst[v->primary].id);
     const struct pr_inst *r = pr_inst_of(g, inst);
     int64_t oldest = ck_now() - FRESH_PROBES * probe_every(n);
-    if (!p || !r || p->said_at < oldest || r->said_at < oldest)
+    if (!p || !r || p->status_at < oldest || r->status_at < oldest)
         return false;
     return r->following == v->term && ps_cmp(r->held, p->held) >= 0;
 }
--- a/promote/evidence.c
+++ b/promote/evidence.c
@@ -72,7 +72,7 @@
     in->term = term;
     in->following = following;
     in->held = held;
-    in->said_at = now;
+    in->status_at = now;
 }
 
 void pr_checks_sent(struct pr_group *p, int n)
--- a/promote/promote.c
+++ b/promote/promote.c
@@ -130,7 +130,7 @@
 {
     const struct pr_inst *in = &p->inst[g->primary];
     bool settled = now - p->last_change_at > p->cfg.silence_us;
-    bool has_status = in->said_at > p->last_change_at + p->cfg.silence_us / 2;
+    bool has_status = in->status_at > p->last_change_at + p->cfg.silence_us / 2;
     return settled && has_status && (!in->primary || in->term != g->term);
 }
 
--- a/promote/promote.h
+++ b/promote/promote.h
@@ -53,7 +53,7 @@
     uint64_t term, following; /* from its latest status */
     bool primary;
     struct ps_pos held;
-    int64_t said_at;
+    int64_t status_at;
     int64_t order_sent_at; /* when the latest fence, promote or follow was sent */
     uint64_t fence_term;   /* highest term for which the instance has confirmed a fence */
     struct ps_pos fenced_pos;
