--- a/control/agree.c
+++ b/control/agree.c
@@ -254,7 +254,7 @@
     /* What can't be read back would be committed and then applied nowhere. */
     bool readable = vw_change_parse(j, &back, err);
     json_decref(j);
-    bool fits = len <= (ch->kind == VW_CH_DOCUMENT ? QR_MAX_ENTRY : VW_CHANGE_MAX);
+    bool fits = len <= (ch->kind == VW_CH_DOCUMENT ? QR_MAX_ENTRY : VW_MAX_CHANGE_BYTES);
     if (!fits)
         er_set(err, ER_TOO_LARGE, "a change of %zu bytes", len);
     struct sr_buf packed = {0};
--- a/tests/unit/test_net.c
+++ b/tests/unit/test_net.c
@@ -335,7 +335,7 @@
 {
     static const struct nt_ops server = {nothing, big_message, ended};
     static const struct nt_ops client = {big_open, big_message, big_close};
-    static const size_t sizes[] = {VW_DOCUMENT_MAX * 2 + (1 << 20), NT_MAX_FRAME + 1};
+    static const size_t sizes[] = {VW_MAX_DOCUMENT_BYTES * 2 + (1 << 20), NT_MAX_FRAME + 1};
     for (int i = 0; i < 2; i++) {
         int fd, port = make_port(&fd, false);
         close(fd);
--- a/view/view.c
+++ b/view/view.c
@@ -164,9 +164,9 @@
     if (ch->version <= v->doc.version)
         return er_set(err, ER_STALE_PLAN, "document version %llu, expected above %llu",
                       (unsigned long long)ch->version, (unsigned long long)v->doc.version);
-    if (ch->text.len > VW_DOCUMENT_MAX)
+    if (ch->text.len > VW_MAX_DOCUMENT_BYTES)
         return er_set(err, ER_TOO_LARGE, "document of %zu bytes, expected at most %d",
-                      ch->text.len, VW_DOCUMENT_MAX);
+                      ch->text.len, VW_MAX_DOCUMENT_BYTES);
     return true;
 }
 
--- a/view/view.h
+++ b/view/view.h
@@ -22,10 +22,10 @@
     VW_MAX_STARTS = 16,
     VW_MAX_INTENTS = 256,
     VW_MAX_STEPS = 16,
-    VW_NAME = 48,              /* bytes of a name, with its NUL */
-    VW_MAX_DEPARTED = 16,      /* departed instances that are remembered, of all groups */
-    VW_CHANGE_MAX = 8192,      /* JSON text of a change, except a document */
-    VW_DOCUMENT_MAX = 1 << 20, /* about 3,000 routes */
+    VW_NAME = 48,                    /* bytes of a name, with its NUL */
+    VW_MAX_DEPARTED = 16,            /* departed instances that are remembered, of all groups */
+    VW_MAX_CHANGE_BYTES = 8192,      /* JSON text of a change, except a document */
+    VW_MAX_DOCUMENT_BYTES = 1 << 20, /* about 3,000 routes */
 };
 
 struct vw_instance {
