--- a/control/peers.c
+++ b/control/peers.c
@@ -222,7 +222,7 @@
 static void on_hello(struct ct_conn *c, const struct wr_hello *h)
 {
     struct ct_node *n = c->node;
-    const char *wrong = wr_hello_wrong(h, n->s->cluster, n->id);
+    const char *wrong = wr_hello_mismatch(h, n->s->cluster, n->id);
     if (wrong) {
         refuse(c, wrong);
         return;
--- a/entry/observer.c
+++ b/entry/observer.c
@@ -74,7 +74,7 @@
 static void on_hello(struct en_asker *c, const struct wr_hello *h)
 {
     struct en_node *n = c->node;
-    const char *wrong = wr_hello_wrong(h, n->s->cluster, n->id);
+    const char *wrong = wr_hello_mismatch(h, n->s->cluster, n->id);
     if (wrong) {
         FL_WARN(&n->log, "a peer is refused: %s", wrong);
         nt_close(c->net, true);
--- a/wire/decode.c
+++ b/wire/decode.c
@@ -431,7 +431,7 @@
     return true;
 }
 
-const char *wr_hello_wrong(const struct wr_hello *h, const char *cluster, uint64_t id)
+const char *wr_hello_mismatch(const struct wr_hello *h, const char *cluster, uint64_t id)
 {
     if (h->version != WR_VERSION)
         return "it uses another protocol version";
--- a/wire/wire.h
+++ b/wire/wire.h
@@ -192,6 +192,6 @@
                struct er_err *err);
 void wr_decoder_free(struct wr_decoder *d);
 /* Why a greeting is not meant for a node with this cluster and identity, or NULL. */
-const char *wr_hello_wrong(const struct wr_hello *h, const char *cluster, uint64_t id);
+const char *wr_hello_mismatch(const struct wr_hello *h, const char *cluster, uint64_t id);
 
 #endif
