--- a/control/nodes.c
+++ b/control/nodes.c
@@ -233,8 +233,8 @@
                                  .nodes = came,
                                  .from = ch->from,
                                  .to = told ? ch->to : 0,
-                                 .n_gone = (uint32_t)ch->n_gone,
-                                 .gone = gone}};
+                                 .n_removed = (uint32_t)ch->n_gone,
+                                 .removed = gone}};
     for (int i = 0; i < ch->n_came; i++)
         came[i] = wire_node(ch->came[i]);
     for (int i = 0; i < ch->n_gone; i++)
--- a/entry/link.c
+++ b/entry/link.c
@@ -269,15 +269,15 @@
 
 static void on_nodes(struct en_node *n, const struct wr_nodes *m)
 {
-    struct ho_node *named = sr_alloc(sizeof(*named) * (size_t)(m->n + m->n_gone + 1));
+    struct ho_node *named = sr_alloc(sizeof(*named) * (size_t)(m->n + m->n_removed + 1));
     struct nl_change ch = {.from = m->from, .to = m->to};
     for (uint32_t i = 0; i < m->n; i++) {
         if (read_node(&m->nodes[i], &named[i]))
             ch.came[ch.n_came++] = &named[i];
     }
-    for (uint32_t i = 0; i < m->n_gone; i++) {
+    for (uint32_t i = 0; i < m->n_removed; i++) {
         struct ho_node *x = &named[m->n + i];
-        if (sr_copy(x->name, sizeof(x->name), m->gone[i]))
+        if (sr_copy(x->name, sizeof(x->name), m->removed[i]))
             ch.gone[ch.n_gone++] = x->name;
     }
     bool taken = nl_apply(n->nodes, &n->n_nodes, &n->nodes_hash, &ch);
--- a/wire/decode.c
+++ b/wire/decode.c
@@ -323,10 +323,10 @@
 static void get_removed(struct reader *r, struct wr_nodes *m)
 {
     struct reader list = get_list(r, WR_MAX_NODES);
-    m->n_gone = list.a->size;
-    m->gone = zone_alloc(r, m->n_gone, sizeof(*m->gone));
-    for (uint32_t i = 0; i < m->n_gone && !r->bad; i++) {
-        m->gone[i] = get_s(&list);
+    m->n_removed = list.a->size;
+    m->removed = zone_alloc(r, m->n_removed, sizeof(*m->removed));
+    for (uint32_t i = 0; i < m->n_removed && !r->bad; i++) {
+        m->removed[i] = get_s(&list);
         r->bad = r->bad || list.bad;
     }
 }
--- a/wire/encode.c
+++ b/wire/encode.c
@@ -239,9 +239,9 @@
         return;
     put_u(pk, n->from);
     put_u(pk, n->to);
-    msgpack_pack_array(pk, n->n_gone);
-    for (uint32_t i = 0; i < n->n_gone; i++)
-        put_s(pk, n->gone[i]);
+    msgpack_pack_array(pk, n->n_removed);
+    for (uint32_t i = 0; i < n->n_removed; i++)
+        put_s(pk, n->removed[i]);
     if (!deflated)
         return;
     struct sr_buf list = {0};
--- a/wire/wire.h
+++ b/wire/wire.h
@@ -147,8 +147,8 @@
     uint32_t n;
     struct wr_node *nodes; /* all nodes, or the added ones */
     uint64_t from, to;     /* hashes of the lists; from = 0: whole list; to = 0: unknown */
-    uint32_t n_gone;
-    struct sr_str *gone; /* names of the removed nodes */
+    uint32_t n_removed;
+    struct sr_str *removed; /* names of the removed nodes */
 };
 
 struct wr_msg {
