--- a/control/nodes.c
+++ b/control/nodes.c
@@ -380,7 +380,7 @@
     m.grant.generation = view_waits(c, now) ? c->sent_gen : n->view.generation;
     take_shares(c, r, now);
     send_shares(c, r);
-    note_nodes(c, r->nodes, now);
+    note_nodes(c, r->nodes_hash, now);
     if (n->s->holders || n->s->registers)
         send_nodes(c, now);
     ct_send_conn(c, &m);
--- a/entry/link.c
+++ b/entry/link.c
@@ -87,7 +87,7 @@
                                 .shares = shares,
                                 .shares_seq = n->shares_seq,
                                 .leaving = n->stopping,
-                                .nodes = n->nodes_hash};
+                                .nodes_hash = n->nodes_hash};
     if (n->px)
         px_permit_wants(n->px, &m.renew);
     send_msg(l, &m);
--- a/tests/unit/test_text.c
+++ b/tests/unit/test_text.c
@@ -100,8 +100,8 @@
         many[i] = node;
     m[n++] =
         (struct wr_msg){.type = WR_NODES, .nodes = {WR_DEFLATE_ABOVE_NODES + 1, many, 0, 9}};
-    m[n++] =
-        (struct wr_msg){.type = WR_RENEW, .renew = {1, 2, 3, false, 2, shares, 4, .nodes = 9}};
+    m[n++] = (struct wr_msg){.type = WR_RENEW,
+                             .renew = {1, 2, 3, false, 2, shares, 4, .nodes_hash = 9}};
     m[n++] = (struct wr_msg){.type = WR_PROBES, .probes = {1, &probe}};
     return n;
 }
--- a/wire/decode.c
+++ b/wire/decode.c
@@ -254,7 +254,7 @@
     m->shares = get_shares(r, &m->n);
     m->shares_seq = get_u(r);
     m->leaving = get_b(r); /* usually absent */
-    m->nodes = get_u(r);
+    m->nodes_hash = get_u(r);
     m->permits = get_permit_asks(r, &m->n_permits);
     m->all_permits = get_b(r);
 }
--- a/wire/encode.c
+++ b/wire/encode.c
@@ -154,7 +154,7 @@
 {
     /* An absent field reads as zero, so trailing zero fields are left out. */
     bool all = r->all_permits, permits = r->n_permits > 0 || all;
-    bool nodes = r->nodes || permits, leaving = r->leaving || nodes;
+    bool nodes = r->nodes_hash || permits, leaving = r->leaving || nodes;
     put_header(pk, WR_RENEW, 6u + leaving + nodes + permits + all);
     put_u(pk, r->seq);
     put_u(pk, r->generation);
@@ -165,7 +165,7 @@
     if (leaving)
         put_b(pk, r->leaving);
     if (nodes)
-        put_u(pk, r->nodes);
+        put_u(pk, r->nodes_hash);
     if (permits)
         put_permit_asks(pk, r->permits, r->n_permits);
     if (all)
--- a/wire/wire.h
+++ b/wire/wire.h
@@ -90,7 +90,7 @@
     uint64_t shares_seq; /* seq of the latest WR_SHARES that was applied */
     bool leaving; /* the node stops soon and keeps its lease until then, but must not be chosen
                      as a holder of a group any more */
-    uint64_t nodes; /* hash of the sender's node list (route/nodelist.h); 0: unknown */
+    uint64_t nodes_hash; /* hash of the sender's node list (route/nodelist.h); 0: unknown */
     uint32_t n_permits;
     struct wr_permit_ask *permits;
     bool all_permits; /* `permits` names every account of which the node has permits */
