--- a/tests/unit/test_watch.c
+++ b/tests/unit/test_watch.c
@@ -38,7 +38,7 @@
     struct ct_inst *in = c->ud;
     drv.changed++;
     drv.open--;
-    in->c = NULL;
+    in->conn = NULL;
     free(c);
 }
 
@@ -49,8 +49,8 @@
 }
 
 static const struct ep_driver driver = {.open = opens, .close = closes};
-static const struct ct_steering steering = {.busy = is_busy};
-static const struct ct_interface outside;
+static const struct ct_failover_ops steering = {.busy = is_busy};
+static const struct ct_platform_ops outside;
 
 /* A control node that knows groups of three instances, each named by its number. */
 static struct ct_node *node_with(int groups)
@@ -61,8 +61,8 @@
     drv.changed = drv.open = drv.refuses = 0;
     n->s = &s;
     n->driver = &driver;
-    n->steering = &steering;
-    n->outside = &outside;
+    n->failover = &steering;
+    n->platform = &outside;
     n->next_probe_report = INT64_MAX;
     n->n_groups = groups;
     n->groups = sr_alloc(sizeof(*n->groups) * (size_t)groups);
@@ -83,7 +83,7 @@
 {
     for (int g = 0; g < n->n_groups; g++) {
         for (int i = 0; i < 3; i++) {
-            free(n->groups[g]->inst[i]->c);
+            free(n->groups[g]->inst[i]->conn);
             free(n->groups[g]->inst[i]);
         }
         free(n->groups[g]);
