--- a/control/consensus.c
+++ b/control/consensus.c
@@ -259,7 +259,7 @@
     /* A change that can't be parsed would be committed and then applied by no node. */
     bool readable = vw_change_parse(j, &parsed, err);
     json_decref(j);
-    bool fits = len <= (ch->kind == VW_CH_DOCUMENT ? QR_MAX_ENTRY : VW_CHANGE_MAX);
+    bool fits = len <= (ch->kind == VW_CH_DOCUMENT ? QR_MAX_ENTRY : VW_MAX_CHANGE_BYTES);
     if (!fits)
         er_set(err, ER_TOO_LARGE, "a change of %zu bytes is too large", len);
     struct sr_buf packed = {0};
--- a/control/control.c
+++ b/control/control.c
@@ -60,7 +60,7 @@
     n->measured_generation = 0;
     n->in_force_since = 0;
     n->unsent_changes = (struct vp_batch){0};
-    n->pace = (struct vp_pace){0};
+    n->pace = (struct vp_limiter){0};
     vp_tick(&n->pace, 0, 0, now);
     ls_grantor_begin(&n->leases, CK_MS(n->s->lease_ms), now, first);
     /* Instances of the platform limit their connections themselves and refuse any above the
--- a/control/nodes.c
+++ b/control/nodes.c
@@ -240,8 +240,8 @@
                                  .nodes = added,
                                  .from = ch->from,
                                  .to = known ? ch->to : 0,
-                                 .n_gone = (uint32_t)ch->n_removed,
-                                 .gone = removed}};
+                                 .n_removed = (uint32_t)ch->n_removed,
+                                 .removed = removed}};
     for (int i = 0; i < ch->n_added; i++)
         added[i] = wire_node(ch->added[i]);
     for (int i = 0; i < ch->n_removed; i++)
@@ -303,9 +303,9 @@
 {
     int64_t confirmed_at = qr_sole_leader_until(n->q) - CK_MS(n->s->election_ms);
     int64_t late = CK_MS(n->s->heartbeat_ms) * LATE_HEARTBEAT_INTERVALS;
-    bool was_held = !vp_may(&n->pace);
+    bool was_held = !vp_may_send(&n->pace);
     vp_tick(&n->pace, now - confirmed_at, late, now);
-    if (was_held && vp_may(&n->pace))
+    if (was_held && vp_may_send(&n->pace))
         ct_push_view(n);
 }
 
@@ -389,7 +389,7 @@
     m.grant.generation = view_deferred(c, now) ? c->sent_generation : n->view.generation;
     record_shares(c, r, now);
     send_shares(c, r);
-    note_node_list(c, r->nodes, now);
+    note_node_list(c, r->nodes_hash, now);
     if (n->s->holders || n->s->registers)
         send_nodes(c, now);
     ct_send_conn(c, &m);
--- a/control/peers.c
+++ b/control/peers.c
@@ -100,7 +100,7 @@
                                 .port = (uint32_t)n->s->control_port,
                                 .role = WR_ROLE_CONTROL,
                                 .id = n->id,
-                                .expect = expect};
+                                .expected_id = expect};
     send_msg(n, net, &m);
 }
 
@@ -228,7 +228,7 @@
 static void on_hello(struct ct_conn *c, const struct wr_hello *h)
 {
     struct ct_node *n = c->node;
-    const char *mismatch = wr_hello_wrong(h, n->s->cluster, n->id);
+    const char *mismatch = wr_hello_mismatch(h, n->s->cluster, n->id);
     if (mismatch) {
         refuse(c, mismatch);
         return;
@@ -243,8 +243,8 @@
     c->role = h->role;
     c->id = h->id;
     c->port = (int)h->port;
-    c->carries = (int)h->carries;
-    c->http_port = (int)h->http;
+    c->carries = (int)h->capacity;
+    c->http_port = (int)h->http_port;
     if (c->role == WR_ROLE_CONTROL && !peer_of(n, c->id)) {
         struct qr_member m = {.id = c->id, .port = c->port};
         sr_copy(m.name, sizeof(m.name), sr_from(c->name));
--- a/control/pending_view.h
+++ b/control/pending_view.h
@@ -16,11 +16,11 @@
 };
 
 /* Whether the view may be sent now; otherwise it is deferred. */
-static inline bool pv_try_send(struct pv_pending_view *t, const struct vp_pace *p, int64_t now)
+static inline bool pv_try_send(struct pv_pending_view *t, const struct vp_limiter *p, int64_t now)
 {
     if (!t->waiting)
         t->since = now;
-    return vp_take(p, &t->waiting);
+    return vp_send_or_defer(p, &t->waiting);
 }
 
 /* Whether a lease is still granted for the older view. This is limited to half a lease: the
--- a/entry/link.c
+++ b/entry/link.c
@@ -87,7 +87,7 @@
                                 .shares = shares,
                                 .shares_seq = n->shares_seq,
                                 .leaving = n->stopping,
-                                .nodes = n->nodes_hash};
+                                .nodes_hash = n->nodes_hash};
     if (n->px)
         px_permit_requests(n->px, &m.renew);
     send_msg(l, &m);
@@ -263,7 +263,7 @@
 
 static bool read_node(const struct wr_node *x, struct ho_node *to)
 {
-    *to = (struct ho_node){.port = (int)x->port, .carries = (int)x->carries};
+    *to = (struct ho_node){.port = (int)x->port, .carries = (int)x->capacity};
     return sr_copy(to->name, sizeof(to->name), x->name) &&
            sr_copy(to->domain, sizeof(to->domain), x->domain) &&
            sr_copy(to->ip, sizeof(to->ip), x->ip);
@@ -271,15 +271,15 @@
 
 static void on_nodes(struct en_node *n, const struct wr_nodes *m)
 {
-    struct ho_node *named = sr_alloc(sizeof(*named) * (size_t)(m->n + m->n_gone + 1));
+    struct ho_node *named = sr_alloc(sizeof(*named) * (size_t)(m->n + m->n_removed + 1));
     struct nl_change ch = {.from = m->from, .to = m->to};
     for (uint32_t i = 0; i < m->n; i++) {
         if (read_node(&m->nodes[i], &named[i]))
             ch.added[ch.n_added++] = &named[i];
     }
-    for (uint32_t i = 0; i < m->n_gone; i++) {
+    for (uint32_t i = 0; i < m->n_removed; i++) {
         struct ho_node *x = &named[m->n + i];
-        if (sr_copy(x->name, sizeof(x->name), m->gone[i]))
+        if (sr_copy(x->name, sizeof(x->name), m->removed[i]))
             ch.removed[ch.n_removed++] = x->name;
     }
     bool taken = nl_apply(n->nodes, &n->n_nodes, &n->nodes_hash, &ch);
@@ -481,8 +481,8 @@
         .port = (uint32_t)callers_port(s),
         .role = s->observer ? WR_ROLE_OBSERVER : WR_ROLE_ENTRY,
         .id = l->node->id,
-        .carries = (uint32_t)cp_statements_per_s(s->link_kbps, s->core_permille),
-        .http = (uint32_t)s->entry_port};
+        .capacity = (uint32_t)cp_statements_per_s(s->link_kbps, s->core_permille),
+        .http_port = (uint32_t)s->entry_port};
     send_msg(l, &m);
 }
 
--- a/registry/registry.c
+++ b/registry/registry.c
@@ -67,7 +67,7 @@
     int i = g ? vw_instance(g, b->inst.id) : -1;
     if (i >= 0)
         return b->inst.born < g->inst[i].born ? RG_STALE : on_known_instance(g, i, b, ch);
-    if (vw_is_late(v, b->inst.id, b->inst.born) || (g && address_taken(g, b)))
+    if (vw_start_has_left(v, b->inst.id, b->inst.born) || (g && address_taken(g, b)))
         return RG_STALE;
     init_change(ch, VW_CH_JOIN, b->group, b->inst.id);
     ch->inst = b->inst;
--- a/view/view.h
+++ b/view/view.h
@@ -22,10 +22,10 @@
     VW_MAX_STARTS = 16,
     VW_MAX_INTENTS = 256,
     VW_MAX_STEPS = 16,
-    VW_NAME = 48,              /* bytes of a name, with its NUL */
-    VW_MAX_DEPARTED = 16,      /* departed instances that are remembered, of all groups */
-    VW_CHANGE_MAX = 8192,      /* JSON text of a change, except a document */
-    VW_DOCUMENT_MAX = 1 << 20, /* about 3,000 routes */
+    VW_NAME = 48,                    /* bytes of a name, with its NUL */
+    VW_MAX_DEPARTED = 16,            /* departed instances that are remembered, of all groups */
+    VW_MAX_CHANGE_BYTES = 8192,      /* JSON text of a change, except a document */
+    VW_MAX_DOCUMENT_BYTES = 1 << 20, /* about 3,000 routes */
 };
 
 struct vw_instance {
@@ -157,7 +157,7 @@
 bool vw_has_left(const struct vw_view *v, const char *id);
 /* Whether the instance that started at `born` is such a departed instance, or an earlier start
  * under the same id. */
-bool vw_is_late(const struct vw_view *v, const char *id, int64_t born);
+bool vw_start_has_left(const struct vw_view *v, const char *id, int64_t born);
 /* The group of the instance with this id, or NULL. Ids are unique in a cluster, because shares,
  * probes and evidence are keyed by them. */
 const struct vw_group *vw_owner(const struct vw_view *v, const char *id);
--- a/wire/decode.c
+++ b/wire/decode.c
@@ -1,7 +1,7 @@
 /* Decodes untrusted msgpack messages; wire/wire.h describes them. */
 #include "limit/limit.h"
 #include "route/capacity.h"
-#include "wire/claims.h"
+#include "wire/precheck.h"
 #include "wire/wire.h"
 
 #include <stdlib.h>
@@ -116,9 +116,9 @@
     h->port = get_max(r, 65535);
     h->role = (enum wr_role)get_max(r, WR_ROLE_OBSERVER);
     h->id = get_u(r);
-    h->expect = get_u(r);
-    h->carries = get_max(r, CP_MAX_STATEMENTS_PER_S);
-    h->http = get_max(r, 65535);
+    h->expected_id = get_u(r);
+    h->capacity = get_max(r, CP_MAX_STATEMENTS_PER_S);
+    h->http_port = get_max(r, 65535);
 }
 
 static const struct qr_members *get_members(struct reader *r)
@@ -254,7 +254,7 @@
     m->shares = get_shares(r, &m->n);
     m->shares_seq = get_u(r);
     m->leaving = get_b(r); /* usually absent */
-    m->nodes = get_u(r);
+    m->nodes_hash = get_u(r);
     m->permits = get_permit_asks(r, &m->n_permits);
     m->all_permits = get_b(r);
 }
@@ -305,7 +305,7 @@
         m->nodes[i].domain = get_s(&one);
         m->nodes[i].ip = get_s(&one);
         m->nodes[i].port = get_max(&one, 65535);
-        m->nodes[i].carries = get_max(&one, CP_MAX_STATEMENTS_PER_S);
+        m->nodes[i].capacity = get_max(&one, CP_MAX_STATEMENTS_PER_S);
         r->bad = r->bad || one.bad || list.bad;
     }
 }
@@ -313,20 +313,20 @@
 /* Whether a message announces more than it contains. Only arrays and maps with a 32-bit length
  * can announce large sizes. Most messages have none, and msgpack-c itself detects other errors,
  * so only messages that may contain such a length are checked. */
-static bool overclaims(const char *data, size_t len)
+static bool lengths_invalid(const char *data, size_t len)
 {
     enum { LIST_32 = 0xdd, MAP_32 = 0xdf };
     bool may = memchr(data, LIST_32, len) || memchr(data, MAP_32, len);
-    return may && !cm_holds(data, len);
+    return may && !wp_lengths_valid(data, len);
 }
 
 static void get_removed(struct reader *r, struct wr_nodes *m)
 {
     struct reader list = get_list(r, WR_MAX_NODES);
-    m->n_gone = list.a->size;
-    m->gone = zone_alloc(r, m->n_gone, sizeof(*m->gone));
-    for (uint32_t i = 0; i < m->n_gone && !r->bad; i++) {
-        m->gone[i] = get_s(&list);
+    m->n_removed = list.a->size;
+    m->removed = zone_alloc(r, m->n_removed, sizeof(*m->removed));
+    for (uint32_t i = 0; i < m->n_removed && !r->bad; i++) {
+        m->removed[i] = get_s(&list);
         r->bad = r->bad || list.bad;
     }
 }
@@ -339,7 +339,7 @@
     size_t off = 0;
     if (r->bad || s.len == 0)
         return;
-    if (overclaims(s.p, s.len) ||
+    if (lengths_invalid(s.p, s.len) ||
         msgpack_unpack(s.p, s.len, &off, r->zone, &o) != MSGPACK_UNPACK_SUCCESS) {
         r->bad = true;
         return;
@@ -413,7 +413,7 @@
     msgpack_object o;
     size_t off = 0;
     memset(m, 0, sizeof(*m));
-    if (overclaims(data, len))
+    if (lengths_invalid(data, len))
         return er_set(err, ER_BAD_INPUT,
                       "message of %zu bytes: it announces more than it holds", len);
     msgpack_unpack_return rc = msgpack_unpack(data, len, &off, &d->zone, &o);
@@ -431,13 +431,13 @@
     return true;
 }
 
-const char *wr_hello_wrong(const struct wr_hello *h, const char *cluster, uint64_t id)
+const char *wr_hello_mismatch(const struct wr_hello *h, const char *cluster, uint64_t id)
 {
     if (h->version != WR_VERSION)
         return "it uses another protocol version";
     if (!sr_eq(h->cluster, sr_from(cluster)))
         return "it belongs to another cluster";
-    if (h->expect && h->expect != id)
+    if (h->expected_id && h->expected_id != id)
         return "it expects another identity: this data folder is not the known one";
     return h->id ? NULL : "its greeting has no identity";
 }
--- a/wire/wire.h
+++ b/wire/wire.h
@@ -58,10 +58,10 @@
     struct sr_str cluster, name, domain, ip;
     uint32_t port; /* control: for other nodes; entry: for callers */
     enum wr_role role;
-    uint64_t id;      /* control: the identity on disk; others: drawn at start */
-    uint64_t expect;  /* control: the identity expected of the receiver; 0: any */
-    uint32_t carries; /* entry: statements per second (route/capacity.h); 0: unknown */
-    uint32_t http;    /* entry: port of its HTTP interface; 0: unknown */
+    uint64_t id;          /* control: the identity on disk; others: drawn at start */
+    uint64_t expected_id; /* control: the identity expected of the receiver; 0: any */
+    uint32_t capacity;    /* entry: statements per second (route/capacity.h); 0: unknown */
+    uint32_t http_port;   /* entry: port of its HTTP interface; 0: unknown */
 };
 
 struct wr_share {
@@ -90,7 +90,7 @@
     uint64_t shares_seq; /* seq of the latest WR_SHARES that was applied */
     bool leaving; /* the node stops soon and keeps its lease until then, but must not be chosen
                      as a holder of a group any more */
-    uint64_t nodes; /* hash of the sender's node list (route/nodelist.h); 0: unknown */
+    uint64_t nodes_hash; /* hash of the sender's node list (route/nodelist.h); 0: unknown */
     uint32_t n_permits;
     struct wr_permit_ask *permits;
     bool all_permits; /* `permits` names every account of which the node has permits */
@@ -138,8 +138,8 @@
 
 struct wr_node {
     struct sr_str name, domain, ip;
-    uint32_t port;    /* for callers */
-    uint32_t carries; /* WR_NODES: statements per second; 0: unknown */
+    uint32_t port;     /* for callers */
+    uint32_t capacity; /* WR_NODES: statements per second; 0: unknown */
 };
 
 /* WR_CONTROLS: a list. WR_NODES: the difference between two lists (route/nodelist.h). */
@@ -147,8 +147,8 @@
     uint32_t n;
     struct wr_node *nodes; /* all nodes, or the added ones */
     uint64_t from, to;     /* hashes of the lists; from = 0: whole list; to = 0: unknown */
-    uint32_t n_gone;
-    struct sr_str *gone; /* names of the removed nodes */
+    uint32_t n_removed;
+    struct sr_str *removed; /* names of the removed nodes */
 };
 
 struct wr_msg {
@@ -192,6 +192,6 @@
                struct er_err *err);
 void wr_decoder_free(struct wr_decoder *d);
 /* Why a greeting is not meant for a node with this cluster and identity, or NULL. */
-const char *wr_hello_wrong(const struct wr_hello *h, const char *cluster, uint64_t id);
+const char *wr_hello_mismatch(const struct wr_hello *h, const char *cluster, uint64_t id);
 
 #endif
