--- a/proxy/conn.c
+++ b/proxy/conn.c
@@ -68,7 +68,7 @@
                        .pos = s->floor};
     if (run) { /* its name is ours here */
         struct px_stmt st = s->stmt;
-        st.name = sr_from(px_name_on(&c->applied, run));
+        st.name = sr_from(px_prepared_name_on(&c->applied, run));
         c->inst->p->cfg.codec->put_text(&text, &st);
         m.text = (struct sr_str){text.p, text.len};
     }
--- a/proxy/state.c
+++ b/proxy/state.c
@@ -106,7 +106,7 @@
 
 /* ---- the connection's ---- */
 
-const char *px_name_on(const struct px_applied *a, const struct px_prepared *run)
+const char *px_prepared_name_on(const struct px_applied *a, const struct px_prepared *run)
 {
     for (int i = 0; i < a->n_prepared; i++) {
         const struct px_prepared *p = &a->prepared[i];
@@ -133,7 +133,7 @@
 {
     *st = (struct px_stmt){.verb = PX_V_DISCARD};
     bool others = a->session && a->session != s->session;
-    bool lacks = run && !px_name_on(a, run);
+    bool lacks = run && !px_prepared_name_on(a, run);
     if (others || (lacks && a->n_prepared == PX_MAX_ON_CONN))
         return true;
     const struct px_value *v = next_value(s, a->session ? a->version : 0);
--- a/proxy/state.h
+++ b/proxy/state.h
@@ -57,7 +57,7 @@
 /* That statement was acknowledged. */
 void px_setup_done(const struct px_state *s, struct px_applied *a, const struct px_stmt *st);
 /* The name of a prepared statement on the connection, NULL if it is not there. */
-const char *px_name_on(const struct px_applied *a, const struct px_prepared *run);
+const char *px_prepared_name_on(const struct px_applied *a, const struct px_prepared *run);
 void px_applied_free(struct px_applied *a);
 
 #endif
--- a/tests/unit/test_proxy.c
+++ b/tests/unit/test_proxy.c
@@ -225,7 +225,7 @@
     const struct px_prepared *p2 = px_find_prepared(&two, SR_LIT("s"));
     CU_ASSERT_EQUAL(setup(&one, &conn, p1, v), 1);
     CU_ASSERT_EQUAL(setup(&two, &conn, p2, v), 1);
-    CU_ASSERT_STRING_NOT_EQUAL(px_name_on(&conn, p1), px_name_on(&conn, p2));
+    CU_ASSERT_STRING_NOT_EQUAL(px_prepared_name_on(&conn, p1), px_prepared_name_on(&conn, p2));
     CU_ASSERT_EQUAL(setup(&two, &conn, px_find_prepared(&two, SR_LIT("t")), v), 0);
     /* The same name, another shape: the old one is not run. */
     CU_ASSERT_TRUE(px_prepare(&one, SR_LIT("s"), false, SR_LIT("q1"), &err));
