--- a/proxy/state.c
+++ b/proxy/state.c
@@ -134,7 +134,7 @@
     *st = (struct px_stmt){.verb = PX_V_DISCARD};
     bool others = a->session && a->session != s->session;
     bool lacks = run && !px_prepared_name_on(a, run);
-    if (others || (lacks && a->n_prepared == PX_MAX_ON_CONN))
+    if (others || (lacks && a->n_prepared == PX_MAX_PREPARED_ON_CONN))
         return true;
     const struct px_value *v = next_value(s, a->session ? a->version : 0);
     if (v) {
--- a/proxy/state.h
+++ b/proxy/state.h
@@ -11,7 +11,8 @@
 enum {
     PX_MAX_VALUES = 256,   /* of a session */
     PX_MAX_PREPARED = 256, /* of a session */
-    PX_MAX_ON_CONN = 128,  /* prepared statements a connection keeps before it starts anew */
+    PX_MAX_PREPARED_ON_CONN =
+        128, /* prepared statements a connection keeps before it starts anew */
     PX_STMT_NAME = 24,
 };
 
--- a/tests/unit/test_proxy.c
+++ b/tests/unit/test_proxy.c
@@ -245,11 +245,11 @@
     struct er_err err = {0};
     enum px_verb v[8];
     char shape[16];
-    for (int i = 0; i <= PX_MAX_ON_CONN; i++) {
+    for (int i = 0; i <= PX_MAX_PREPARED_ON_CONN; i++) {
         snprintf(shape, sizeof(shape), "q%d", i);
         CU_ASSERT_TRUE(px_prepare(&s, SR_LIT("s"), false, sr_from(shape), &err));
         int n = setup(&s, &conn, px_find_prepared(&s, SR_LIT("s")), v);
-        CU_ASSERT_EQUAL(n, i < PX_MAX_ON_CONN ? 1 : 2);
+        CU_ASSERT_EQUAL(n, i < PX_MAX_PREPARED_ON_CONN ? 1 : 2);
     }
     CU_ASSERT_EQUAL(v[0], PX_V_DISCARD);
     for (int i = 0; i < PX_MAX_VALUES; i++) {
