--- a/proxy/state.c
+++ b/proxy/state.c
@@ -18,7 +18,8 @@
 
 /* ---- the session's ---- */
 
-bool px_set(struct px_state *s, struct sr_str name, struct sr_str value, struct er_err *err)
+bool px_set_value(struct px_state *s, struct sr_str name, struct sr_str value,
+                  struct er_err *err)
 {
     int i = 0;
     while (i < s->n_values && !is(s->values[i].name, name))
--- a/proxy/state.h
+++ b/proxy/state.h
@@ -44,7 +44,8 @@
     struct px_prepared *prepared;
 };
 
-bool px_set(struct px_state *s, struct sr_str name, struct sr_str value, struct er_err *err);
+bool px_set_value(struct px_state *s, struct sr_str name, struct sr_str value,
+                  struct er_err *err);
 bool px_prepare(struct px_state *s, struct sr_str name, bool writes, struct sr_str shape,
                 struct er_err *err);
 bool px_deallocate(struct px_state *s, struct sr_str name, struct er_err *err);
--- a/proxy/statement.c
+++ b/proxy/statement.c
@@ -123,7 +123,7 @@
 static bool apply(struct px_state *to, const struct px_stmt *st, struct er_err *err)
 {
     if (st->verb == PX_V_SET)
-        return px_set(to, st->name, st->value, err);
+        return px_set_value(to, st->name, st->value, err);
     if (st->verb == PX_V_PREPARE)
         return px_prepare(to, st->name, st->writes, st->value, err);
     return px_deallocate(to, st->name, err);
--- a/tests/unit/test_proxy.c
+++ b/tests/unit/test_proxy.c
@@ -197,11 +197,11 @@
     struct px_applied conn = {0};
     struct er_err err = {0};
     enum px_verb v[8];
-    CU_ASSERT_TRUE(px_set(&one, SR_LIT("a"), SR_LIT("1"), &err));
-    CU_ASSERT_TRUE(px_set(&one, SR_LIT("b"), SR_LIT("2"), &err));
+    CU_ASSERT_TRUE(px_set_value(&one, SR_LIT("a"), SR_LIT("1"), &err));
+    CU_ASSERT_TRUE(px_set_value(&one, SR_LIT("b"), SR_LIT("2"), &err));
     CU_ASSERT_EQUAL(setup(&one, &conn, NULL, v), 2);
     CU_ASSERT_EQUAL(setup(&one, &conn, NULL, v), 0);
-    CU_ASSERT_TRUE(px_set(&one, SR_LIT("a"), SR_LIT("3"), &err));
+    CU_ASSERT_TRUE(px_set_value(&one, SR_LIT("a"), SR_LIT("3"), &err));
     CU_ASSERT_EQUAL(setup(&one, &conn, NULL, v), 1); /* only what changed */
     CU_ASSERT_EQUAL(setup(&two, &conn, NULL, v), 1);
     CU_ASSERT_EQUAL(v[0], PX_V_DISCARD); /* nothing of another session's stays */
@@ -254,9 +254,9 @@
     CU_ASSERT_EQUAL(v[0], PX_V_DISCARD);
     for (int i = 0; i < PX_MAX_VALUES; i++) {
         snprintf(shape, sizeof(shape), "v%d", i);
-        CU_ASSERT_TRUE(px_set(&s, sr_from(shape), SR_LIT("x"), &err));
+        CU_ASSERT_TRUE(px_set_value(&s, sr_from(shape), SR_LIT("x"), &err));
     }
-    CU_ASSERT_FALSE(px_set(&s, SR_LIT("more"), SR_LIT("x"), &err));
+    CU_ASSERT_FALSE(px_set_value(&s, SR_LIT("more"), SR_LIT("x"), &err));
     CU_ASSERT_EQUAL(err.kind, ER_TOO_LARGE);
     px_state_free(&s);
     px_applied_free(&conn);
