--- a/entry/entry.c
+++ b/entry/entry.c
@@ -137,7 +137,7 @@
 {
     const struct vw_view *v = &n->view;
     if (n->px) {
-        px_view(n->px, v);
+        px_set_view(n->px, v);
         return;
     }
     struct en_group **next = sr_alloc(sizeof(*next) * (size_t)v->n);
--- a/proxy/groups.c
+++ b/proxy/groups.c
@@ -143,7 +143,7 @@
     return g;
 }
 
-void px_view(struct px_proxy *p, const struct vw_view *v)
+void px_set_view(struct px_proxy *p, const struct vw_view *v)
 {
     struct px_group **next = sr_alloc(sizeof(*next) * (size_t)(v->n + 1));
     px_load_document(p, &v->doc);
--- a/proxy/proxy.h
+++ b/proxy/proxy.h
@@ -45,7 +45,7 @@
 /* Listen for callers. NULL with *err if that fails. Strings of *cfg must outlive it. */
 struct px_proxy *px_create(struct nt_loop *l, const struct px_config *cfg, struct er_err *err);
 /* A newer view is in force here. */
-void px_view(struct px_proxy *p, const struct vw_view *v);
+void px_set_view(struct px_proxy *p, const struct vw_view *v);
 /* Whether nothing acts on an older view any more: a planned change of primary waits until what
  * runs at the old one has ended, within a bound. */
 bool px_settled(const struct px_proxy *p);
--- a/tests/unit/one_node.c
+++ b/tests/unit/one_node.c
@@ -75,7 +75,7 @@
     group.inst[0] = (struct vw_instance){.id = "i", .ip = "127.0.0.1", .domain = "z"};
     group.inst[0].port = inst_port;
     view.doc = (struct vw_document){1, strdup(document), strlen(document)};
-    px_view(p, &view);
+    px_set_view(p, &view);
     free(view.doc.text);
 }
 
--- a/tests/unit/test_accounts.c
+++ b/tests/unit/test_accounts.c
@@ -243,7 +243,7 @@
              "{\"version\":%llu," ROUTES ",\"limits\":{\"txIdleMs\":3000},\"tenants\":%s}",
              (unsigned long long)w.version, accounts);
     view.doc = (struct vw_document){w.version, text, strlen(text)};
-    px_view(w.p, &view);
+    px_set_view(w.p, &view);
 }
 
 static void begin(const char *accounts, int share)
--- a/tests/unit/test_documents.c
+++ b/tests/unit/test_documents.c
@@ -160,7 +160,7 @@
     put_document(&doc, version, routes, last_service);
     struct vw_view view = {.generation = (uint64_t)version};
     view.doc = (struct vw_document){(uint64_t)version, doc.p, doc.len};
-    px_view(p, &view);
+    px_set_view(p, &view);
     sr_buf_free(&doc); /* the view is replaced meanwhile */
 }
 
--- a/tests/unit/test_holding.c
+++ b/tests/unit/test_holding.c
@@ -65,7 +65,7 @@
     if (with_document)
         view.doc = (struct vw_document){1, text.p, text.len};
     view.generation += with_document;
-    px_view(p, &view);
+    px_set_view(p, &view);
     sr_buf_free(&text);
 }
 
--- a/tests/unit/test_opening.c
+++ b/tests/unit/test_opening.c
@@ -108,7 +108,7 @@
     group.inst[0].port = inst_port;
     view.doc = (struct vw_document){1, strdup(document), strlen(document)};
     w.p = on_create(w.loop, "n0", port, CALLERS, NULL);
-    px_view(w.p, &view);
+    px_set_view(w.p, &view);
     free(view.doc.text);
     ho_prepare(nodes, 2);
     px_nodes(w.p, nodes, 2);
--- a/tests/unit/test_relay.c
+++ b/tests/unit/test_relay.c
@@ -185,7 +185,7 @@
     group.inst[0].port = on_free_port(); /* nobody is there */
     snprintf(document, sizeof(document), document_of, w.f->all_hold ? 25 : 1);
     view.doc = (struct vw_document){1, strdup(document), strlen(document)};
-    px_view(p, &view);
+    px_set_view(p, &view);
     free(view.doc.text);
     return p;
 }
