--- a/entry/link.c
+++ b/entry/link.c
@@ -289,7 +289,7 @@
     }
     ho_prepare(n->nodes, n->n_nodes);
     if (n->px)
-        px_nodes(n->px, n->nodes, n->n_nodes);
+        px_set_nodes(n->px, n->nodes, n->n_nodes);
     en_holding_changed(n);
 }
 
--- a/proxy/holders.c
+++ b/proxy/holders.c
@@ -201,7 +201,7 @@
     return false;
 }
 
-void px_nodes(struct px_proxy *p, const struct ho_node *nodes, int n)
+void px_set_nodes(struct px_proxy *p, const struct ho_node *nodes, int n)
 {
     p->nodes = sr_realloc(p->nodes, sizeof(*nodes) * (size_t)(n + 1));
     sr_move(p->nodes, nodes, sizeof(*nodes) * (size_t)n);
--- a/tests/unit/test_accounts.c
+++ b/tests/unit/test_accounts.c
@@ -262,7 +262,7 @@
     w.p = on_create(w.loop, "n0", w.port, 16, NULL);
     put_in_force(accounts);
     ho_prepare(&node, 1);
-    px_nodes(w.p, &node, 1);
+    px_set_nodes(w.p, &node, 1);
     px_share(w.p, SR_LIT("i"), share);
     tick(NULL);
 }
@@ -415,7 +415,7 @@
     int k = ho_pick(nodes, NODES, "g", 3, holders);
     for (int i = 0; i < k; i++)
         CU_ASSERT_NOT_EQUAL(holders[i], 0); /* ours is none of them */
-    px_nodes(w.p, nodes, NODES);
+    px_set_nodes(w.p, nodes, NODES);
     CU_ASSERT(wanted() >= 1);
     CU_ASSERT_TRUE(asks(a, "QUERY q3 READ t", "READY T"));
     CU_ASSERT_TRUE(asks(a, "QUERY q4 COMMIT", "READY I"));
--- a/tests/unit/test_endings.c
+++ b/tests/unit/test_endings.c
@@ -87,7 +87,7 @@
 
 static void moved(void)
 {
-    px_nodes(w.p, w.nodes, NODES);
+    px_set_nodes(w.p, w.nodes, NODES);
     stand_still(CK_SEC(2));
 }
 
@@ -227,7 +227,7 @@
     fill_nodes(there);
     w.p = on_create(w.loop, "n0", here, 8, leased);
     on_show_group(w.p, on_free_port(), document_text); /* nobody is there */
-    px_nodes(w.p, w.nodes, row->relayed ? NODES : 0);
+    px_set_nodes(w.p, w.nodes, row->relayed ? NODES : 0);
     tick(NULL);
     nt_connect_stream(w.loop, "127.0.0.1", here, &caller_ops, &w);
     nt_timer_set(w.loop, &w.late, CK_SEC(3), stop, NULL);
--- a/tests/unit/test_holding.c
+++ b/tests/unit/test_holding.c
@@ -84,7 +84,7 @@
         snprintf(nodes[i].domain, sizeof(nodes[i].domain), "d%d", i % 5);
     }
     ho_prepare(nodes, n);
-    px_nodes(p, nodes, n);
+    px_set_nodes(p, nodes, n);
 }
 
 /* Connections that a renewal would ask for now. */
--- a/tests/unit/test_opening.c
+++ b/tests/unit/test_opening.c
@@ -111,7 +111,7 @@
     px_set_view(w.p, &view);
     free(view.doc.text);
     ho_prepare(nodes, 2);
-    px_nodes(w.p, nodes, 2);
+    px_set_nodes(w.p, nodes, 2);
     px_share(w.p, SR_LIT("i"), SHARE);
 }
 
--- a/tests/unit/test_relay.c
+++ b/tests/unit/test_relay.c
@@ -220,7 +220,7 @@
         spread_over_regions(nodes, near);
     int here = on_free_port();
     w.p = make_proxy(name, here);
-    px_nodes(w.p, nodes, NODES);
+    px_set_nodes(w.p, nodes, NODES);
     tick(NULL);
     nt_connect_stream(w.loop, "127.0.0.1", here, &caller_ops, &w);
     nt_timer_set(w.loop, &w.late, CK_SEC(2), stop, NULL);
@@ -331,7 +331,7 @@
     fill_nodes(nodes, here);
     ho_pick(nodes, NODES, "g", 3, holders);
     w.p = make_proxy(nodes[holders[0]].name, here);
-    px_nodes(w.p, nodes, NODES);
+    px_set_nodes(w.p, nodes, NODES);
     tick(NULL);
     if (loses_lease)
         nt_timer_set(w.loop, &lose, CK_MS(50), lose_the_lease, NULL);
@@ -382,7 +382,7 @@
     fill_nodes(nodes, there);
     ho_pick(nodes, NODES, "g", 3, holders);
     w.p = make_proxy(nodes[holders[0]].name, here);
-    px_nodes(w.p, nodes, NODES);
+    px_set_nodes(w.p, nodes, NODES);
     tick(NULL);
     nt_timer_set(w.loop, &lose, CK_MS(50), lose_the_lease, NULL);
     nt_timer_set(w.loop, &w.rest, CK_MS(500), call_the_node, &here);
