--- a/entry/link.c
+++ b/entry/link.c
@@ -252,7 +252,7 @@
         if (!sr_copy(id, sizeof(id), s->shares[i].inst))
             continue;
         if (n->px)
-            px_share(n->px, s->shares[i].inst, (int)s->shares[i].held);
+            px_set_share(n->px, s->shares[i].inst, (int)s->shares[i].held);
         struct en_inst *in = en_inst(n, id);
         if (in)
             in->share = (int)s->shares[i].held;
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -105,7 +105,7 @@
     return changes;
 }
 
-void px_share(struct px_proxy *p, struct sr_str id, int connections)
+void px_set_share(struct px_proxy *p, struct sr_str id, int connections)
 {
     struct px_inst *in = px_inst(p, id);
     if (!in)
--- a/proxy/proxy.h
+++ b/proxy/proxy.h
@@ -58,7 +58,7 @@
 /* The entry nodes with a lease; strings and hashes as ho_prepare leaves them. */
 void px_set_nodes(struct px_proxy *p, const struct ho_node *nodes, int n);
 /* How many connections to the instance this node may have from now on. */
-void px_share(struct px_proxy *p, struct sr_str inst, int connections);
+void px_set_share(struct px_proxy *p, struct sr_str inst, int connections);
 /* What the next renewal says of client accounts' permits, to *r; the list is the caller's to
  * free. Each call is a renewal that goes out. */
 void px_permit_requests(struct px_proxy *p, struct wr_renew *r);
--- a/tests/unit/test_accounts.c
+++ b/tests/unit/test_accounts.c
@@ -263,7 +263,7 @@
     put_in_force(accounts);
     ho_prepare(&node, 1);
     px_set_nodes(w.p, &node, 1);
-    px_share(w.p, SR_LIT("i"), share);
+    px_set_share(w.p, SR_LIT("i"), share);
     tick(NULL);
 }
 
@@ -426,7 +426,7 @@
     CU_ASSERT_FALSE(asks(a, "QUERY q1 READ x", "COMPLETE x"));
     CU_ASSERT_TRUE(px_has_changes(w.p));
     CU_ASSERT(wanted() >= 1);
-    px_share(w.p, SR_LIT("i"), 1);
+    px_set_share(w.p, SR_LIT("i"), 1);
     run_for(WAIT_MS);
     CU_ASSERT_TRUE(was_told(a, "COMPLETE x"));
     end();
--- a/tests/unit/test_opening.c
+++ b/tests/unit/test_opening.c
@@ -112,7 +112,7 @@
     free(view.doc.text);
     ho_prepare(nodes, 2);
     px_set_nodes(w.p, nodes, 2);
-    px_share(w.p, SR_LIT("i"), SHARE);
+    px_set_share(w.p, SR_LIT("i"), SHARE);
 }
 
 static void play(bool greets, int64_t for_us)
--- a/tests/unit/test_silence.c
+++ b/tests/unit/test_silence.c
@@ -276,7 +276,7 @@
     const char *name = fill_nodes(nodes, holders_there ? there : nobody, there);
     make_proxy(w.serves_itself ? "n0" : name, here, w.serves_itself ? there : nobody);
     px_set_nodes(w.p, nodes, w.serves_itself ? 1 : NODES);
-    px_share(w.p, SR_LIT("i"), w.serves_itself);
+    px_set_share(w.p, SR_LIT("i"), w.serves_itself);
     tick(NULL);
     nt_connect_stream(w.loop, "127.0.0.1", here, &caller_ops, &w);
     nt_timer_set(w.loop, &w.late, CK_SEC(3), stop, NULL);
