--- a/entry/link.c
+++ b/entry/link.c
@@ -308,7 +308,7 @@
     char id[VW_NAME];
     struct wr_msg m = {.type = WR_CHECKED, .check = *c};
     int64_t now = ck_now();
-    m.check.health = l->node->px ? px_health(l->node->px, c->inst) : WR_UNKNOWN;
+    m.check.health = l->node->px ? px_instance_health(l->node->px, c->inst) : WR_UNKNOWN;
     struct en_inst *in = sr_copy(id, sizeof(id), c->inst) ? en_inst(l->node, id) : NULL;
     if (in)
         m.check.health = health_by_watch(in, now);
--- a/proxy/pool.c
+++ b/proxy/pool.c
@@ -400,7 +400,7 @@
     return in->at == in->group->cfg.primary && px_relief_alone(&v);
 }
 
-enum wr_health px_health(const struct px_proxy *p, struct sr_str id)
+enum wr_health px_instance_health(const struct px_proxy *p, struct sr_str id)
 {
     const struct px_inst *in = px_inst(p, id);
     int64_t now = ck_now();
--- a/proxy/proxy.h
+++ b/proxy/proxy.h
@@ -76,7 +76,7 @@
  * instance. */
 void px_lease_lost(struct px_proxy *p);
 /* What this node sees of an instance; WR_UNKNOWN: it did not ask lately. */
-enum wr_health px_health(const struct px_proxy *p, struct sr_str inst);
+enum wr_health px_instance_health(const struct px_proxy *p, struct sr_str inst);
 /* Whether a document is in force here. */
 bool px_configured(const struct px_proxy *p);
 /* Call every few milliseconds. */
