--- a/entry/entry.c
+++ b/entry/entry.c
@@ -238,7 +238,7 @@
     struct en_node *n = ud;
     nt_timer_cancel(&n->tick);
     if (n->px)
-        px_log_end(n->px);
+        px_log_open_work(n->px);
     n->stopped(n->stopped_ud);
 }
 
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -174,7 +174,7 @@
     p->stop_began = now;
 }
 
-void px_log_end(const struct px_proxy *p)
+void px_log_open_work(const struct px_proxy *p)
 {
     int at_work = 0;
     for (const struct px_session *s = p->active; s; s = s->next_active)
--- a/proxy/proxy.h
+++ b/proxy/proxy.h
@@ -87,7 +87,7 @@
  */
 void px_refuse_new(struct px_proxy *p);
 /* The process ends: say what it leaves open. */
-void px_log_end(const struct px_proxy *p);
+void px_log_open_work(const struct px_proxy *p);
 /* Whether everything has ended. */
 bool px_stopped(const struct px_proxy *p, int64_t now);
 /* Append lines for /metrics. */
