--- a/proxy/pending.c
+++ b/proxy/pending.c
@@ -5,20 +5,20 @@
 /* A write for itself is kept; one in a transaction is with its COMMIT. */
 static void write_said(struct px_pending *q, enum px_txn txn)
 {
-    q->wrote = true;
-    q->keeps = q->keeps || txn == PX_IDLE;
+    q->txn_wrote = true;
+    q->may_keep = q->may_keep || txn == PX_IDLE;
 }
 
 static void statement_said(struct px_pending *q, const struct px_stmt *st, enum px_txn txn)
 {
-    q->ends = false;
+    q->ends_txn = false;
     switch (st->verb) {
     case PX_V_COMMIT:
-        q->ends = true;
-        q->keeps = q->keeps || q->wrote;
+        q->ends_txn = true;
+        q->may_keep = q->may_keep || q->txn_wrote;
         break;
     case PX_V_ROLLBACK:
-        q->ends = true;
+        q->ends_txn = true;
         break;
     case PX_V_READ:
     case PX_V_BEGIN:
@@ -40,7 +40,7 @@
     codec->parse((struct sr_str){q->head, n}, &m);
     if (m.kind == PX_END)
         return; /* wants no answer */
-    q->piped = q->piped || q->open > 0;
+    q->pipelined = q->pipelined || q->open > 0;
     q->open++;
     if (m.kind == PX_STATEMENT)
         codec->parse_text(m.text, &st);
@@ -63,11 +63,11 @@
 void px_pending_answered(struct px_pending *q, enum px_txn txn)
 {
     q->open = 0;
-    q->keeps = q->ends = false;
-    q->wrote = q->wrote && txn != PX_IDLE;
+    q->may_keep = q->ends_txn = false;
+    q->txn_wrote = q->txn_wrote && txn != PX_IDLE;
 }
 
 bool px_pending_harmless(const struct px_pending *q)
 {
-    return !q->piped && !q->keeps;
+    return !q->pipelined && !q->may_keep;
 }
--- a/proxy/pending.h
+++ b/proxy/pending.h
@@ -12,11 +12,11 @@
 struct px_pending {
     char head[PX_PENDING_HEAD_BYTES]; /* of the line that is not whole yet */
     size_t len;
-    int open;   /* whole questions since the last answer */
-    bool keeps; /* one of them may be kept */
-    bool ends;  /* the last of them ends the transaction */
-    bool wrote; /* the transaction did, or may have */
-    bool piped; /* a question came before the answer to another: no more is known */
+    int open;       /* whole questions since the last answer */
+    bool may_keep;  /* one of them may be kept */
+    bool ends_txn;  /* the last of them ends the transaction */
+    bool txn_wrote; /* the transaction did, or may have */
+    bool pipelined; /* a question came before the answer to another: no more is known */
 };
 
 /* The caller says this; `txn` is where the last answer left the session. */
--- a/proxy/relay.c
+++ b/proxy/relay.c
@@ -179,7 +179,7 @@
 static void refuse_open(struct px_relay *r, enum er_kind kind, const char *detail)
 {
     struct px_session *s = r->s;
-    s->txn = r->txn != PX_IDLE && !r->q.ends ? PX_TXN_FAILED : PX_IDLE;
+    s->txn = r->txn != PX_IDLE && !r->q.ends_txn ? PX_TXN_FAILED : PX_IDLE;
     px_refuse_relayed(s, kind, detail);
     r->txn = s->txn;
     px_pending_answered(&r->q, r->txn);
--- a/tests/unit/test_neighbor.c
+++ b/tests/unit/test_neighbor.c
@@ -174,7 +174,7 @@
     px_pending_add(&q, &pf_lines, PX_IN_TXN, write, strlen(write));
     px_pending_answered(&q, PX_IN_TXN);
     px_pending_add(&q, &pf_lines, PX_IN_TXN, commit, strlen(commit));
-    CU_ASSERT(q.ends && !px_pending_harmless(&q));
+    CU_ASSERT(q.ends_txn && !px_pending_harmless(&q));
     px_pending_answered(&q, PX_IDLE);
     px_pending_add(&q, &pf_lines, PX_IN_TXN, commit, strlen(commit));
     CU_ASSERT(px_pending_harmless(&q));
