--- a/proxy/stages.c
+++ b/proxy/stages.c
@@ -1,6 +1,6 @@
 #include "proxy/stages.h"
 
-static const char *const names[PX_T_PARTS] = {"permit", "wait", "setup", "instance", "relay"};
+static const char *const names[PX_T_COUNT] = {"permit", "wait", "setup", "instance", "relay"};
 
 void px_stages_add(struct px_stages *t, enum px_latency_stage part, int64_t us)
 {
@@ -12,7 +12,7 @@
 bool px_stages_report(struct px_stages *t, struct sr_buf *out)
 {
     uint64_t any = 0;
-    for (int i = 0; i < PX_T_PARTS; i++) {
+    for (int i = 0; i < PX_T_COUNT; i++) {
         double mean_ms = t->n[i] ? (double)t->sum_us[i] / (double)t->n[i] / 1e3 : 0;
         sr_buf_printf(out, "%s%s=%llu/%.1f", i ? " " : "", names[i],
                       (unsigned long long)t->n[i], mean_ms);
@@ -26,7 +26,7 @@
 void px_stages_metrics(const struct px_stages *t, struct sr_buf *out)
 {
     static const double quantiles[] = {0.5, 0.9, 0.99};
-    for (int i = 0; i < PX_T_PARTS; i++) {
+    for (int i = 0; i < PX_T_COUNT; i++) {
         for (int q = 0; q < 3; q++)
             sr_buf_printf(out, "ferry_session_stage_us{stage=\"%s\",quantile=\"%g\"} %lld\n",
                           names[i], quantiles[q],
--- a/proxy/stages.h
+++ b/proxy/stages.h
@@ -17,14 +17,14 @@
     PX_T_SETUP,    /* values, prepared names and BEGIN on the connection */
     PX_T_INSTANCE, /* its own answer */
     PX_T_RELAY,    /* asked of another node, its stages there included */
-    PX_T_PARTS
+    PX_T_COUNT
 };
 
 /* Since the last report, and since the start. */
 struct px_stages {
-    struct hi_hist hist[PX_T_PARTS];
-    uint64_t n[PX_T_PARTS];
-    int64_t sum_us[PX_T_PARTS];
+    struct hi_hist hist[PX_T_COUNT];
+    uint64_t n[PX_T_COUNT];
+    int64_t sum_us[PX_T_COUNT];
 };
 
 void px_stages_add(struct px_stages *t, enum px_latency_stage part, int64_t us);
