--- a/proxy/answer.c
+++ b/proxy/answer.c
@@ -24,7 +24,7 @@
 }
 
 /* Instances of the group that lacked a position a moment ago: why the others are full. */
-static int behind_now(const struct px_group *g, int64_t now)
+static int count_behind(const struct px_group *g, int64_t now)
 {
     int k = 0;
     for (int i = 0; g && i < g->cfg.n; i++)
@@ -47,7 +47,7 @@
              s->route.group, (unsigned long long)(g ? g->cfg.term : 0),
              (unsigned long long)p->catalog.version, px_leased(p), er_name(kind),
              s->arrived ? (long long)((ck_now() - s->arrived) / 1000) : 0, s->offers,
-             behind_now(g, ck_now()), g ? g->cfg.n : 0, detail);
+             count_behind(g, ck_now()), g ? g->cfg.n : 0, detail);
 }
 
 static void note_success(struct px_session *s)
@@ -60,7 +60,7 @@
 /* ---- sending ---- */
 
 /* Send what *b holds and free it. */
-static void send_all(struct px_session *s, struct sr_buf *b)
+static void send_and_free(struct px_session *s, struct sr_buf *b)
 {
     if (s->net)
         nt_send(s->net, b->p, b->len);
@@ -96,31 +96,31 @@
         s->p->cfg.codec->put(&b, &done);
     }
     put_ready(s, &b, c->has_pos, c->pos);
-    send_all(s, &b);
+    send_and_free(s, &b);
     s->idle_since = ck_now();
     px_session_resume(s);
 }
 
-static void tell_failure(struct px_session *s, enum er_kind kind, const char *detail)
+static void send_failure(struct px_session *s, enum er_kind kind, const char *detail)
 {
     struct sr_buf b = {0};
     note_failure(s, kind, detail);
     put_failure(s, &b, kind, detail);
     put_ready(s, &b, false, no_pos);
-    send_all(s, &b);
+    send_and_free(s, &b);
 }
 
 void px_refuse(struct px_session *s, enum er_kind kind, const char *detail)
 {
     px_end_work(s);
-    tell_failure(s, kind, detail);
+    send_failure(s, kind, detail);
     s->idle_since = ck_now();
     px_session_resume(s);
 }
 
 void px_refuse_relayed(struct px_session *s, enum er_kind kind, const char *detail)
 {
-    tell_failure(s, kind, detail);
+    send_failure(s, kind, detail);
 }
 
 void px_answer_local(struct px_session *s)
@@ -129,7 +129,7 @@
     struct px_msg done = {.kind = PX_DONE};
     s->p->cfg.codec->put(&b, &done);
     put_ready(s, &b, false, no_pos);
-    send_all(s, &b);
+    send_and_free(s, &b);
     s->idle_since = ck_now();
 }
 
@@ -137,7 +137,7 @@
 {
     struct sr_buf b = {0};
     put_ready(s, &b, false, no_pos);
-    send_all(s, &b);
+    send_and_free(s, &b);
 }
 
 void px_fail_disconnected(struct px_session *s)
@@ -208,7 +208,7 @@
                  (unsigned long long)s->state.session, s->database,
                  (unsigned long long)s->p->catalog.version, er_name(kind), detail);
     put_failure(s, &b, kind, detail);
-    send_all(s, &b);
+    send_and_free(s, &b);
     if (s->net)
         px_close(s, PX_END_REFUSED, false);
 }
--- a/proxy/documents.c
+++ b/proxy/documents.c
@@ -6,16 +6,16 @@
 #include "proxy/priv.h"
 
 enum {
-    READ_A_TICK = 200, /* elements */
+    ELEMENTS_PER_TICK = 200, /* elements */
 };
 
-static void free_text(struct vw_document *d)
+static void free_document(struct vw_document *d)
 {
     free(d->text);
     *d = (struct vw_document){0};
 }
 
-static void put_in_force(struct px_proxy *p, const struct cg_catalog *c)
+static void activate(struct px_proxy *p, const struct cg_catalog *c)
 {
     FL_EVENT(&p->log, LG_INFO, "document_in_force", "document=%llu before=%llu routes=%d",
              (unsigned long long)c->version, (unsigned long long)p->catalog.version,
@@ -26,7 +26,7 @@
     p->catalog = *c;
 }
 
-static void begin_next(struct px_proxy *p)
+static void start_loading(struct px_proxy *p)
 {
     p->loading_document = p->newest_document;
     p->newest_document = (struct vw_document){0};
@@ -35,23 +35,23 @@
 }
 
 /* Whether a document came into force. */
-static bool go_on(struct px_proxy *p)
+static bool continue_loading(struct px_proxy *p)
 {
     struct cg_catalog c;
     struct er_err err = {0};
     if (!p->loading.codec && p->newest_document.version)
-        begin_next(p);
+        start_loading(p);
     if (!p->loading.codec)
         return false;
-    enum cg_step step = cg_take(&p->loading, READ_A_TICK, &c, &err);
+    enum cg_step step = cg_take(&p->loading, ELEMENTS_PER_TICK, &c, &err);
     if (step == CG_MORE)
         return false;
     if (step == CG_DONE)
-        put_in_force(p, &c);
+        activate(p, &c);
     else
         FL_ERR(&p->log, "document %llu can't be read: %s",
                (unsigned long long)p->loading_document.version, err.text);
-    free_text(&p->loading_document);
+    free_document(&p->loading_document);
     return step == CG_DONE;
 }
 
@@ -60,10 +60,10 @@
     if (d->version == p->newest_version)
         return;
     p->newest_version = d->version;
-    free_text(&p->newest_document);
+    free_document(&p->newest_document);
     p->newest_document = (struct vw_document){d->version, sr_alloc(d->len + 1), d->len};
     sr_move(p->newest_document.text, d->text, d->len);
-    go_on(p);
+    continue_loading(p);
 }
 
 bool px_document_loading(const struct px_proxy *p)
@@ -73,7 +73,7 @@
 
 void px_documents_tick(struct px_proxy *p)
 {
-    if (!go_on(p))
+    if (!continue_loading(p))
         return;
     px_holders_changed(p);
     for (struct px_session *s = p->active; s; s = s->next_active) {
--- a/proxy/limits.c
+++ b/proxy/limits.c
@@ -4,7 +4,7 @@
 
 #include "proxy/priv.h"
 
-enum { LEAST_RETRY_MS = 20 };
+enum { MIN_RETRY_MS = 20 };
 
 /* ---- accounts ---- */
 
@@ -29,29 +29,29 @@
 
 /* ---- their permits' life ---- */
 
-static void throw_away(struct px_proxy *p)
+static void discard_permits(struct px_proxy *p)
 {
     for (int i = 0; i < p->n_accounts; i++)
         lm_void(&p->accounts[i].permits);
 }
 
-static void end_if_due(struct px_proxy *p, int64_t now)
+static void discard_if_expired(struct px_proxy *p, int64_t now)
 {
     if (now >= p->permits_expire_at)
-        throw_away(p);
+        discard_permits(p);
 }
 
 void px_permits_renewed(struct px_proxy *p, int64_t sent)
 {
     int64_t now = ck_now(), until = sent + LM_LIFE_US;
-    end_if_due(p, now);
+    discard_if_expired(p, now);
     if (until > now && until > p->permits_expire_at)
         p->permits_expire_at = until;
 }
 
 void px_permits_discard(struct px_proxy *p)
 {
-    throw_away(p);
+    discard_permits(p);
     p->permits_expire_at = 0;
 }
 
@@ -66,7 +66,7 @@
 {
     if (s->permit != PX_PERMIT_NEEDED)
         return LM_GO;
-    end_if_due(s->p, ck_now());
+    discard_if_expired(s->p, ck_now());
     struct px_account *a = account_of(s->p, s->account);
     enum lm_verdict v = lm_take(&a->permits, s->route.priority, ck_now());
     if (v == LM_GO) {
@@ -92,7 +92,7 @@
     int64_t ms = lm_retry_us(&a->permits, ck_now()) / 1000;
     a->refused++;
     snprintf(detail, sizeof(detail), "the account is over its limit; retry in %lld ms",
-             (long long)(ms > LEAST_RETRY_MS ? ms : LEAST_RETRY_MS));
+             (long long)(ms > MIN_RETRY_MS ? ms : MIN_RETRY_MS));
     px_refuse(s, ER_LIMIT, detail);
 }
 
@@ -101,7 +101,7 @@
 void px_permit_requests(struct px_proxy *p, struct wr_renew *r)
 {
     struct wr_permit_ask *out = sr_alloc(sizeof(*out) * (size_t)(p->n_accounts + 1));
-    end_if_due(p, ck_now());
+    discard_if_expired(p, ck_now());
     r->permits = out;
     r->n_permits = 0;
     r->all_permits = p->permits_unreported;
@@ -120,7 +120,7 @@
 }
 
 /* Those that wait for it go on at once. */
-static void wake(struct px_proxy *p, const char *account)
+static void wake_waiting(struct px_proxy *p, const char *account)
 {
     for (struct px_session *s = p->active, *next; s; s = next) {
         next = s->next_active;
@@ -143,7 +143,7 @@
             continue;
         lm_answered(&account_of(p, name)->permits, &a, ck_now());
         if (a.given > 0 || a.over_us > 0) /* else they ask anew in a while */
-            wake(p, name);
+            wake_waiting(p, name);
     }
 }
 
--- a/proxy/outcome.c
+++ b/proxy/outcome.c
@@ -5,7 +5,7 @@
 enum {
     /* An instance that lacked a position is not asked for one like it so long. Origin: measured
      * days; asked at once again, two lagging replicas cost 600 vain questions a second. */
-    BEHIND_FOR_US = 250000,
+    BEHIND_PAUSE_US = 250000,
     BUSY_RETRY_US = 15000, /* an instance's queue was full */
 };
 
@@ -18,7 +18,7 @@
         px_conn_rollback(c);
 }
 
-static void let_go(struct px_session *s, struct px_conn *c)
+static void detach(struct px_session *s, struct px_conn *c)
 {
     s->conn = NULL;
     c->session = NULL;
@@ -28,7 +28,7 @@
 /* ---- another try ---- */
 
 /* This statement is not offered to the instance again, unless no other is left. */
-static void skip(struct px_session *s, const struct px_inst *in)
+static void skip_instance(struct px_session *s, const struct px_inst *in)
 {
     if (in->gone)
         return; /* its place in the group is another's now */
@@ -38,12 +38,12 @@
 static void note_behind(struct px_session *s, struct px_inst *in)
 {
     s->p->c.behind++;
-    skip(s, in);
-    in->behind_until = ck_now() + BEHIND_FOR_US;
+    skip_instance(s, in);
+    in->behind_until = ck_now() + BEHIND_PAUSE_US;
 }
 
 /* The view's primary says that it is none. */
-static void note_no_primary(struct px_inst *in)
+static void note_not_primary(struct px_inst *in)
 {
     if (in->gone)
         return;
@@ -51,18 +51,18 @@
     px_inst_suspect(in, WR_REFUSED);
 }
 
-static bool ask_another(struct px_session *s, struct px_conn *c, int64_t after_us)
+static bool retry_elsewhere(struct px_session *s, struct px_conn *c, int64_t after_us)
 {
     if (px_last_try(s))
         return false;
     if (!px_needs_primary(s))
-        skip(s, c->inst);
-    let_go(s, c);
+        skip_instance(s, c->inst);
+    detach(s, c);
     return px_retry(s, after_us, true);
 }
 
 /* What the connection has prepared is not what we thought. */
-static bool ask_anew(struct px_session *s, struct px_conn *c)
+static bool retry_on_new_conn(struct px_session *s, struct px_conn *c)
 {
     if (px_last_try(s))
         return false;
@@ -73,7 +73,7 @@
 }
 
 /* The instance said no before it ran anything, or a read failed there: somewhere else. */
-static bool try_elsewhere(struct px_session *s, struct px_conn *c)
+static bool retry_after_refusal(struct px_session *s, struct px_conn *c)
 {
     bool primary_only = px_needs_primary(s);
     FL_DBG(&s->p->log, "request %.*s session %llu: instance %s answers %s; attempt %d",
@@ -82,21 +82,21 @@
     switch (c->error) {
     case ER_BEHIND:
         note_behind(s, c->inst);
-        let_go(s, c);
+        detach(s, c);
         return px_retry(s, 0, false);
     case ER_BUSY:
-        return ask_another(s, c, primary_only ? BUSY_RETRY_US : 0);
+        return retry_elsewhere(s, c, primary_only ? BUSY_RETRY_US : 0);
     case ER_TERM:
         if (!primary_only)
             return false;
-        note_no_primary(c->inst);
-        let_go(s, c);
+        note_not_primary(c->inst);
+        detach(s, c);
         return px_retry(s, PX_PARK_US, false);
     case ER_NO_STATEMENT:
-        return ask_anew(s, c);
+        return retry_on_new_conn(s, c);
     case ER_FAILED:
     case ER_TIMEOUT:
-        return !s->writes && ask_another(s, c, 0);
+        return !s->writes && retry_elsewhere(s, c, 0);
     default:
         return false;
     }
@@ -155,7 +155,7 @@
         in_txn_answered(s, c);
         return;
     }
-    if (c->error != ER_NONE && try_elsewhere(s, c))
+    if (c->error != ER_NONE && retry_after_refusal(s, c))
         return;
     count_read(s, c);
     if (c->error == ER_NONE)
@@ -175,9 +175,9 @@
     if (why == ER_BEHIND)
         note_behind(s, in);
     else if (why == ER_TERM)
-        note_no_primary(in);
+        note_not_primary(in);
     else if (!px_needs_primary(s))
-        skip(s, in);
+        skip_instance(s, in);
     bool counts = why != ER_BEHIND && why != ER_TERM;
     if (!px_retry(s, why == ER_BEHIND ? 0 : PX_PARK_US, counts))
         px_refuse(s, ER_OVERLOAD, "instances refused what it needs first; retry in 100 ms");
@@ -215,7 +215,7 @@
         return;
     }
     if (!px_needs_primary(s))
-        skip(s, in);
+        skip_instance(s, in);
     if (!sent) {
         px_retry(s, 0, false);
         return;
--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -512,7 +512,7 @@
 /* The statement is over, or its session is; nothing is told. */
 void px_end_work(struct px_session *s);
 /* The statement's present stage is over, and is counted as that part. */
-void px_stage_done(struct px_session *s, enum px_latency_stage part);
+void px_stage_done(struct px_session *s, enum px_latency_stage stage);
 /* Look at it again at that time, or in the first tick after. */
 void px_park(struct px_session *s, int64_t until);
 /* Another try, at once or later. False: it counts, and there were as many as are allowed. */
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -7,9 +7,10 @@
 #include "proxy/priv.h"
 
 enum {
-    KEEP_US = 5000000, /* an account's connection is wanted for so long after a statement */
-    STAGES_EVERY_US = 10000000, /* a line in the log */
-    SLOW_TICK_US = 50000,       /* sessions that rest are looked at so often */
+    KEEP_CONN_US =
+        5000000, /* an account's connection is wanted for so long after a statement */
+    STAGES_LOG_INTERVAL_US = 10000000, /* a line in the log */
+    SLOW_TICK_INTERVAL_US = 50000,     /* sessions that rest are looked at so often */
     /* Of the time from the order to stop until the process is killed: */
     STOP_FORCE_PERCENT = 55,  /* transactions still open then are rolled back */
     STOP_LINGER_PERCENT = 75, /* whoever has not closed by then is closed with the process */
@@ -57,26 +58,26 @@
 
 /* Connections that accounts used lately: given up, each would have to be opened anew for its
  * account's next statement. */
-static int kept(const struct px_inst *in, int64_t now)
+static int recently_used(const struct px_inst *in, int64_t now)
 {
     int k = 0;
     if (!in->group->held || !px_has_accounts(in->p))
         return 0;
     for (const struct px_conn *c = in->conns; c; c = c->next)
-        k += !c->closing && now - c->used_at < KEEP_US;
+        k += !c->closing && now - c->used_at < KEEP_CONN_US;
     return k;
 }
 
-static void add_want(struct px_inst *in, struct wr_share *out)
+static void put_wanted_share(struct px_inst *in, struct wr_share *out)
 {
-    int used = kept(in, ck_now());
+    int used = recently_used(in, ck_now());
     int held = in->n_conns > in->share ? in->n_conns : in->share;
     /* One at hand for what comes next, and room for accounts that had to make place. Where the
      * group is another node's now, sessions that move there within a second go on meanwhile:
      * without connections of theirs 50 statements in 2 s ran into their time limit while 42 of
      * 76 nodes were restarted in turn. */
-    int next = in->group->held ? 1 + in->replaced : 0;
-    int want = in->cfg.draining ? 0 : (used > in->peak ? used : in->peak) + next;
+    int extra = in->group->held ? 1 + in->replaced : 0;
+    int want = in->cfg.draining ? 0 : (used > in->peak ? used : in->peak) + extra;
     in->replaced -= (in->replaced + 3) / 4;
     *out = (struct wr_share){sr_from(in->cfg.id), (uint32_t)held, (uint32_t)want};
     in->peak -= (in->peak + 3) / 4; /* demand is forgotten slowly: a share costs time to get */
@@ -90,7 +91,7 @@
     for (int g = 0; g < p->n_groups; g++) {
         for (int i = 0; i < p->groups[g]->cfg.n && k < cap; i++) {
             struct px_inst *in = p->groups[g]->inst[i];
-            add_want(in, &out[k]);
+            put_wanted_share(in, &out[k]);
             if (sh_to_name(&in->named, out[k].held, out[k].want))
                 k++;
         }
@@ -127,7 +128,7 @@
 /* ---- time ---- */
 
 /* Half of the time to end is for transactions; what is still open then is rolled back. */
-static void force_end(struct px_proxy *p, int64_t now)
+static void abort_open_txns(struct px_proxy *p, int64_t now)
 {
     if (!p->stopping || now - p->stop_began < p->cfg.grace_us * STOP_FORCE_PERCENT / 100)
         return;
@@ -137,10 +138,10 @@
     }
 }
 
-static void tell_stages(struct px_proxy *p, int64_t now)
+static void log_stages(struct px_proxy *p, int64_t now)
 {
     struct sr_buf b = {0};
-    if (now - p->stages_logged_at < STAGES_EVERY_US)
+    if (now - p->stages_logged_at < STAGES_LOG_INTERVAL_US)
         return;
     p->stages_logged_at = now;
     if (px_stages_report(&p->stages, &b))
@@ -162,10 +163,10 @@
     px_neighbors_tick(p, now);
     if (now < p->next_slow_tick)
         return;
-    p->next_slow_tick = now + SLOW_TICK_US;
+    p->next_slow_tick = now + SLOW_TICK_INTERVAL_US;
     px_sessions_slow_tick(p, now);
-    force_end(p, now);
-    tell_stages(p, now);
+    abort_open_txns(p, now);
+    log_stages(p, now);
 }
 
 void px_stop(struct px_proxy *p, int64_t now)
@@ -176,11 +177,11 @@
 
 void px_log_open_work(const struct px_proxy *p)
 {
-    int at_work = 0;
+    int running = 0;
     for (const struct px_session *s = p->active; s; s = s->next_active)
-        at_work++;
+        running++;
     FL_INFO(&p->log, "ends with %d sessions open, %d statements at work", p->n_sessions,
-            at_work);
+            running);
 }
 
 void px_refuse_new(struct px_proxy *p)
@@ -188,7 +189,7 @@
     nt_refuse_new(p->listener);
 }
 
-static bool any_asked_elsewhere(const struct px_proxy *p)
+static bool any_relay_pending(const struct px_proxy *p)
 {
     for (const struct px_session *s = p->sessions; s; s = s->next) {
         if (px_relay_pending(s))
@@ -199,7 +200,7 @@
 
 bool px_stopped(const struct px_proxy *p, int64_t now)
 {
-    if (p->active || any_asked_elsewhere(p))
+    if (p->active || any_relay_pending(p))
         return false;
     return p->n_sessions == 0 ||
            now - p->stop_began > p->cfg.grace_us * STOP_LINGER_PERCENT / 100;
@@ -237,7 +238,7 @@
 }
 
 /* Statements beside put_traffic's bytes: together they tell what one costs on the link. */
-static void put_passed(struct sr_buf *out, const struct px_proxy *p)
+static void put_peer_statements(struct sr_buf *out, const struct px_proxy *p)
 {
     const struct {
         const char *peer;
@@ -255,7 +256,7 @@
                   (unsigned long long)p->served_traffic.bytes_in);
 }
 
-static int more_used_first(const void *a, const void *b)
+static int cmp_use_descending(const void *a, const void *b)
 {
     const struct px_account *x = *(const struct px_account *const *)a;
     const struct px_account *y = *(const struct px_account *const *)b;
@@ -264,19 +265,19 @@
 }
 
 /* All accounts, by use; the caller frees it. */
-static const struct px_account **by_use(const struct px_proxy *p)
+static const struct px_account **accounts_by_use(const struct px_proxy *p)
 {
     const struct px_account **a =
         sr_alloc(sizeof(struct px_account *) * (size_t)(p->n_accounts + 1));
     for (int i = 0; i < p->n_accounts; i++)
         a[i] = &p->accounts[i];
-    qsort(a, (size_t)p->n_accounts, sizeof(*a), more_used_first);
+    qsort(a, (size_t)p->n_accounts, sizeof(*a), cmp_use_descending);
     return a;
 }
 
 int px_accounts_by_use(const struct px_proxy *p, const char *names[PX_ACCOUNTS_LISTED])
 {
-    const struct px_account **a = by_use(p);
+    const struct px_account **a = accounts_by_use(p);
     int n = p->n_accounts < PX_ACCOUNTS_LISTED ? p->n_accounts : PX_ACCOUNTS_LISTED;
     for (int i = 0; i < n; i++)
         names[i] = a[i]->name;
@@ -309,7 +310,7 @@
  * hold. */
 static void put_accounts(struct sr_buf *out, const struct px_proxy *p)
 {
-    const struct px_account **a = by_use(p);
+    const struct px_account **a = accounts_by_use(p);
     struct px_account rest = {0};
     for (int i = 0; i < p->n_accounts; i++) {
         if (i < PX_ACCOUNTS_LISTED) {
@@ -408,7 +409,7 @@
         sr_buf_printf(out, "ferry_session_closed_total{why=\"%s\"} %llu\n",
                       px_end_reason_name(k), (unsigned long long)p->c.ends[k]);
     put_traffic(out, p);
-    put_passed(out, p);
+    put_peer_statements(out, p);
     put_accounts(out, p);
     put_hist(out, "read", &p->latency_read);
     put_hist(out, "write", &p->latency_write);
--- a/proxy/relay.c
+++ b/proxy/relay.c
@@ -13,52 +13,54 @@
 enum {
     /* A holder that does not greet by then is passed over: a caller waits 2 s for its greeting.
      */
-    GREET_US = 500000,
+    GREETING_TIMEOUT_US = 500000,
     /* Holders are asked one after the other for so long: most refuse at once, as they are down
      * or cut off, and their caller has half a second left for the greeting then. */
-    TRY_FOR_US = 1500000,
+    FIND_NODE_TIMEOUT_US = 1500000,
     /* A node that is cut off from control and did not reach another node either asks none for
      * so long: its callers are told at once. */
     ISOLATED_US = 1000000,
-    MAX_QUEUED = 256 * 1024,   /* bytes on their way to a side that does not read */
-    REFUSED_US = 300000,       /* who said no to a session is asked last for so long */
-    NO_WAY_US = 1000000,       /* the same of one that was to pass it on and reached nobody */
-    MOVE_OVER_US = 300000,     /* sessions at rest at a silent node end, spread over so long */
-    REST_OF_LINE_US = 1000000, /* the rest of a question that is partly here is waited for */
+    MAX_QUEUED_BYTES = 256 * 1024, /* bytes on their way to a side that does not read */
+    REFUSED_PAUSE_US = 300000,     /* who said no to a session is asked last for so long */
+    NO_HOLDER_PAUSE_US =
+        1000000,               /* the same of one that was to pass it on and reached nobody */
+    STAGGER_CLOSE_US = 300000, /* sessions at rest at a silent node end, spread over so long */
+    PARTIAL_LINE_TIMEOUT_US =
+        1000000, /* the rest of a question that is partly here is waited for */
 };
 
 /* Who opens a relayed session, before the version of its document. It is not relayed once more,
  * but where `pass_on` follows. The caller's key follows as the last field. */
-static const char relayed_by[] = "~ferry";
+static const char relay_identity[] = "~ferry";
 static const char pass_on_mark = '+';
 
 struct px_relay {
     struct px_session *s;
     struct nt_conn *net; /* to the other node; NULL: none */
     struct px_tried_nodes tried;
-    struct px_neighbor *nb; /* the last of these */
-    bool by_other;          /* it is no holder, and passes the session on */
-    bool late;              /* it did not greet in time */
-    bool greeted;           /* by the other node */
-    bool spoke;             /* the caller got something: another greeting would be too many */
-    bool left;              /* the caller is being sent away, for this reason */
-    enum px_end_reason why;
-    int64_t left_at;
-    bool rests;          /* there, after the last answer */
-    bool asked;          /* a whole message went there since */
-    int64_t asked_at;    /* the first of them */
-    struct px_pending q; /* what was asked */
-    enum px_txn txn;     /* after the last answer */
-    struct sr_buf in;    /* a line from the other node that is not whole yet */
-    int64_t began;       /* this try, and what it waits for: to be open, to be greeted */
+    struct px_neighbor *nb;  /* the last of these */
+    bool via_non_holder;     /* it is no holder, and passes the session on */
+    bool greeting_timed_out; /* it did not greet in time */
+    bool greeted;            /* by the other node */
+    bool caller_got_bytes;   /* the caller got something: another greeting would be too many */
+    bool ending;             /* the caller is being sent away, for this reason */
+    enum px_end_reason end_reason;
+    int64_t ending_since;
+    bool idle;                 /* there, after the last answer */
+    bool has_pending;          /* a whole message went there since */
+    int64_t pending_since;     /* the first of them */
+    struct px_pending pending; /* what was asked */
+    enum px_txn txn;           /* after the last answer */
+    struct sr_buf in;          /* a line from the other node that is not whole yet */
+    int64_t step_began;        /* this try, and what it waits for: to be open, to be greeted */
 };
 
 bool px_parse_relayed(const struct px_msg *open, uint64_t *document, bool *pass_on)
 {
-    size_t n = sizeof(relayed_by) - 1;
+    size_t n = sizeof(relay_identity) - 1;
     *document = 0;
     *pass_on = false;
-    if (open->identity.len < n || memcmp(open->identity.p, relayed_by, n) != 0)
+    if (open->identity.len < n || memcmp(open->identity.p, relay_identity, n) != 0)
         return false;
     if (open->identity.len > n && open->identity.p[n] == pass_on_mark) {
         *pass_on = true;
@@ -77,12 +79,12 @@
 
 bool px_relay_pending(const struct px_session *s)
 {
-    return s->relay && s->relay->asked;
+    return s->relay && s->relay->has_pending;
 }
 
 bool px_relay_idle(const struct px_session *s)
 {
-    return s->relay && s->relay->greeted && s->relay->rests;
+    return s->relay && s->relay->greeted && s->relay->idle;
 }
 
 /* ---- where ---- */
@@ -107,7 +109,7 @@
 
 static void connect_next(struct px_relay *r);
 
-static void drop_tries(struct px_relay *r)
+static void drop_tried(struct px_relay *r)
 {
     for (int k = 0; k < r->tried.n; k++)
         px_neighbor_drop(r->tried.nb[k]);
@@ -116,7 +118,7 @@
 
 static void relay_free(struct px_relay *r)
 {
-    drop_tries(r);
+    drop_tried(r);
     sr_buf_free(&r->in);
     free(r);
 }
@@ -125,16 +127,16 @@
                     const char *key, enum px_hello why)
 {
     struct sr_buf b = {0};
-    char who[sizeof(relayed_by) + 24];
-    int n = snprintf(who, sizeof(who), "%s", relayed_by);
+    char identity[sizeof(relay_identity) + 24];
+    int n = snprintf(identity, sizeof(identity), "%s", relay_identity);
     if (why == PX_HELLO_PASS_ON)
-        who[n++] = pass_on_mark;
+        identity[n++] = pass_on_mark;
     if (why != PX_HELLO_TRIAL)
-        n += snprintf(who + n, sizeof(who) - (size_t)n, ".%llu",
+        n += snprintf(identity + n, sizeof(identity) - (size_t)n, ".%llu",
                       (unsigned long long)p->catalog.version);
     struct px_msg m = {.kind = PX_OPEN,
                        .database = sr_from(database),
-                       .identity = {who, (size_t)n},
+                       .identity = {identity, (size_t)n},
                        .expect = sr_from(key)};
     p->cfg.codec->put(&b, &m);
     nt_send(net, b.p, b.len);
@@ -144,137 +146,139 @@
 static void on_open(struct nt_conn *net, void *ud)
 {
     struct px_relay *r = ud;
-    r->began = ck_now();
+    r->step_began = ck_now();
     px_relay_hello(r->s->p, net, r->s->database, r->s->key,
-                   r->by_other ? PX_HELLO_PASS_ON : PX_HELLO_SERVE);
+                   r->via_non_holder ? PX_HELLO_PASS_ON : PX_HELLO_SERVE);
 }
 
-static void send_there(struct px_relay *r, const char *data, size_t len)
+static void send_to_node(struct px_relay *r, const char *data, size_t len)
 {
-    r->rests = false;
-    if (!r->asked)
-        r->asked_at = ck_now();
-    px_pending_add(&r->q, r->s->p->cfg.codec, r->txn, data, len);
-    r->asked = r->q.open > 0;
+    r->idle = false;
+    if (!r->has_pending)
+        r->pending_since = ck_now();
+    px_pending_add(&r->pending, r->s->p->cfg.codec, r->txn, data, len);
+    r->has_pending = r->pending.open > 0;
     nt_send(r->net, data, len);
 }
 
 /* Close the session, but not in the middle of a question. */
-static void end_left(struct px_relay *r, int64_t now)
+static void finish_ending(struct px_relay *r, int64_t now)
 {
-    if (r->q.len == 0 || r->s->relayed_to_us || now - r->left_at > REST_OF_LINE_US)
-        px_end_idle(r->s, r->why);
+    if (r->pending.len == 0 || r->s->relayed_to_us ||
+        now - r->ending_since > PARTIAL_LINE_TIMEOUT_US)
+        px_end_idle(r->s, r->end_reason);
 }
 
 /* The caller is sent away; what it says before it learns of it is refused. */
-static void leave(struct px_relay *r, enum px_end_reason why)
+static void begin_ending(struct px_relay *r, enum px_end_reason why)
 {
-    r->left = true;
-    r->why = why;
-    r->left_at = ck_now();
-    end_left(r, r->left_at);
+    r->ending = true;
+    r->end_reason = why;
+    r->ending_since = ck_now();
+    finish_ending(r, r->ending_since);
 }
 
 /* What is open is answered here with a failure. */
-static void refuse_open(struct px_relay *r, enum er_kind kind, const char *detail)
+static void fail_pending(struct px_relay *r, enum er_kind kind, const char *detail)
 {
     struct px_session *s = r->s;
-    s->txn = r->txn != PX_IDLE && !r->q.ends_txn ? PX_TXN_FAILED : PX_IDLE;
+    s->txn = r->txn != PX_IDLE && !r->pending.ends_txn ? PX_TXN_FAILED : PX_IDLE;
     px_refuse_relayed(s, kind, detail);
     r->txn = s->txn;
-    px_pending_answered(&r->q, r->txn);
-    r->asked = false;
+    px_pending_answered(&r->pending, r->txn);
+    r->has_pending = false;
 }
 
 /* What the caller asked went nowhere, or to a node that had ended the session. */
-static void tell_not_run(struct px_relay *r)
+static void fail_not_run(struct px_relay *r)
 {
-    refuse_open(r, r->txn == PX_IDLE ? ER_STOPPING : ER_ABORTED,
-                "the node that serves the session stops; retry at once");
+    fail_pending(r, r->txn == PX_IDLE ? ER_STOPPING : ER_ABORTED,
+                 "the node that serves the session stops; retry at once");
 }
 
 /* What is open there has no answer, and will have none that the caller gets: say what is true
  * of it, and send the caller away. `sent`: it went out. */
-static void tell_unanswered(struct px_relay *r, bool sent, enum px_end_reason why)
+static void fail_unanswered(struct px_relay *r, bool sent, enum px_end_reason why)
 {
     struct px_session *s = r->s;
-    bool harmless = !sent || px_pending_harmless(&r->q);
+    bool nothing_kept = !sent || px_pending_harmless(&r->pending);
     bool in_txn = r->txn != PX_IDLE;
-    s->arrived = r->asked_at;
+    s->arrived = r->pending_since;
     s->p->c.silent_told++;
-    refuse_open(r,
-                !harmless ? ER_LOST
-                : in_txn  ? ER_ABORTED
-                          : ER_OVERLOAD,
-                harmless ? "the node that serves the session is silent; nothing is kept, "
-                           "retry at once"
-                         : "the node that serves the session is silent since it was asked");
-    leave(r, why);
+    fail_pending(r,
+                 !nothing_kept ? ER_LOST
+                 : in_txn      ? ER_ABORTED
+                               : ER_OVERLOAD,
+                 nothing_kept
+                     ? "the node that serves the session is silent; nothing is kept, "
+                       "retry at once"
+                     : "the node that serves the session is silent since it was asked");
+    begin_ending(r, why);
 }
 
 /* What the caller said before it was greeted. */
-static void send_early(struct px_relay *r)
+static void send_buffered(struct px_relay *r)
 {
     struct px_session *s = r->s;
     if (s->in.len == 0)
         return;
-    send_there(r, s->in.p, s->in.len);
+    send_to_node(r, s->in.p, s->in.len);
     s->in.len = 0;
 }
 
 /* The other node ends the session while it rests there, so what was asked meanwhile ran
  * nowhere, and the caller is told so. */
-static void ended_there(struct px_relay *r)
+static void on_end(struct px_relay *r)
 {
     if (!r->s->net)
         return;
-    if (!r->spoke) {
+    if (!r->caller_got_bytes) {
         nt_close(r->net, true); /* it opened no session: another may */
         return;
     }
-    if (r->asked)
-        tell_not_run(r);
-    leave(r, PX_END_HOLDER_CLOSED);
+    if (r->has_pending)
+        fail_not_run(r);
+    begin_ending(r, PX_END_HOLDER_CLOSED);
 }
 
 /* Pass the first `n` bytes of what came on; they are whole lines. */
-static void pass_on(struct px_relay *r, size_t n)
+static void pass_to_caller(struct px_relay *r, size_t n)
 {
-    r->spoke = true;
+    r->caller_got_bytes = true;
     if (r->s->net)
         nt_send(r->s->net, r->in.p, n);
     px_consume(&r->in, n);
 }
 
 /* Note what the last of these whole lines says of the session; false: it is an end. */
-static bool note_last(struct px_relay *r, struct sr_str last)
+static bool note_last_line(struct px_relay *r, struct sr_str last)
 {
     struct px_msg m;
     r->s->p->cfg.codec->parse(last, &m);
     if (m.kind != PX_READY)
         return m.kind != PX_END;
     r->txn = m.txn;
-    r->rests = m.txn == PX_IDLE;
-    if (r->asked && r->greeted) {
-        px_stages_add(&r->s->p->stages, PX_T_RELAY, ck_now() - r->asked_at);
+    r->idle = m.txn == PX_IDLE;
+    if (r->has_pending && r->greeted) {
+        px_stages_add(&r->s->p->stages, PX_T_RELAY, ck_now() - r->pending_since);
         r->s->p->c.statements_relayed++;
     }
-    r->asked = false;
-    px_pending_answered(&r->q, m.txn);
+    r->has_pending = false;
+    px_pending_answered(&r->pending, m.txn);
     return true;
 }
 
 /* The other node greeted: what the caller said meanwhile goes there. */
-static void greeted(struct px_relay *r)
+static void on_greeting(struct px_relay *r)
 {
     struct px_proxy *p = r->s->p;
     r->greeted = true;
     p->c.relayed++;
-    p->c.relayed_by_others += r->by_other;
+    p->c.relayed_by_others += r->via_non_holder;
     p->c.passed_on += r->s->relayed_to_us;
-    if (r->by_other)
+    if (r->via_non_holder)
         r->nb->passed_at = ck_now();
-    send_early(r);
+    send_buffered(r);
 }
 
 static void on_message(struct nt_conn *net, void *ud, const char *data, size_t len)
@@ -282,7 +286,7 @@
     struct px_relay *r = ud;
     struct sr_str last;
     nb_heard(&r->nb->b, ck_now());
-    if (r->left)
+    if (r->ending)
         return; /* what it answers now the caller was told of already */
     sr_buf_add(&r->in, data, len);
     size_t n = px_complete_lines(&r->in, &last);
@@ -291,20 +295,20 @@
             nt_close(net, true);
         return;
     }
-    bool ended = !note_last(r, last);
+    bool ended = !note_last_line(r, last);
     if (ended) { /* for us, not for the caller */
         struct sr_buf before = {.p = r->in.p, .len = (size_t)(last.p - r->in.p)};
         n = px_complete_lines(&before, &last);
         if (n > 0)
-            note_last(r, last);
+            note_last_line(r, last);
     }
-    bool greets = !r->greeted && r->rests;
+    bool greets = !r->greeted && r->idle;
     if (n > 0)
-        pass_on(r, n);
+        pass_to_caller(r, n);
     if (greets)
-        greeted(r);
+        on_greeting(r);
     if (ended)
-        ended_there(r);
+        on_end(r);
 }
 
 /* It opened no session: what that says of it. Of one that is no holder, that it knows no way.
@@ -312,25 +316,25 @@
 static void note_no_greeting(struct px_relay *r, bool opened)
 {
     int64_t now = ck_now();
-    if (r->by_other)
-        nb_refused(&r->nb->b, NO_WAY_US, now);
-    else if (!opened || r->late)
+    if (r->via_non_holder)
+        nb_refused(&r->nb->b, NO_HOLDER_PAUSE_US, now);
+    else if (!opened || r->greeting_timed_out)
         nb_doubt(&r->nb->b, now);
     else
-        nb_refused(&r->nb->b, REFUSED_US, now);
+        nb_refused(&r->nb->b, REFUSED_PAUSE_US, now);
 }
 
 /* The connection is gone, and the session there with it. */
-static void lost(struct px_relay *r)
+static void on_lost(struct px_relay *r)
 {
     nb_doubt(&r->nb->b, ck_now());
-    if (r->left || !r->s->net || r->s->end_sent_at)
+    if (r->ending || !r->s->net || r->s->end_sent_at)
         return;
-    if (r->asked) {
-        tell_unanswered(r, true, PX_END_HOLDER_LOST);
+    if (r->has_pending) {
+        fail_unanswered(r, true, PX_END_HOLDER_LOST);
         return;
     }
-    leave(r, PX_END_HOLDER_LOST);
+    begin_ending(r, PX_END_HOLDER_LOST);
 }
 
 static void on_close(struct nt_conn *net, void *ud, bool opened, bool refused)
@@ -341,11 +345,11 @@
     r->net = NULL;
     if (!r->s) {
         relay_free(r);
-    } else if (!r->spoke) {
+    } else if (!r->caller_got_bytes) {
         note_no_greeting(r, opened);
         connect_next(r);
     } else {
-        lost(r);
+        on_lost(r);
     }
 }
 
@@ -370,7 +374,7 @@
 {
     const struct px_proxy *p = r->s->p;
     bool isolated = px_disconnected(p) && now < p->isolated_until;
-    return !isolated && now - r->s->idle_since < TRY_FOR_US;
+    return !isolated && now - r->s->idle_since < FIND_NODE_TIMEOUT_US;
 }
 
 static void connect_next(struct px_relay *r)
@@ -380,7 +384,7 @@
     int64_t now = ck_now();
     struct px_target to = {-1, false};
     if (s->net && may_try(r, now))
-        to = px_next_target(s, &r->tried, r->by_other, now);
+        to = px_next_target(s, &r->tried, r->via_non_holder, now);
     if (to.node < 0) {
         give_up(r);
         return;
@@ -388,12 +392,12 @@
     const struct ho_node *node = &p->nodes[to.node];
     r->nb = px_neighbor_take(p, node);
     r->tried.nb[r->tried.n++] = r->nb;
-    r->by_other = to.passes_on;
-    r->late = false;
+    r->via_non_holder = to.passes_on;
+    r->greeting_timed_out = false;
     sr_copy(r->nb->database, sizeof(r->nb->database), sr_from(s->database));
     sr_copy(r->nb->key, sizeof(r->nb->key), sr_from(s->key));
     r->in.len = 0;
-    r->began = now;
+    r->step_began = now;
     r->net = nt_connect_stream(p->loop, node->ip, node->port, &ops, r);
     px_meter(p, r->net, PX_TO_NODE, node->domain);
 }
@@ -409,47 +413,47 @@
 }
 
 /* It would go to a silent node: nothing of it ran. */
-static void unsent(struct px_relay *r, const char *data, size_t len)
+static void refuse_unsent(struct px_relay *r, const char *data, size_t len)
 {
-    r->rests = false;
-    r->asked_at = ck_now();
-    px_pending_add(&r->q, r->s->p->cfg.codec, r->txn, data, len);
-    if (r->q.open > 0)
-        tell_unanswered(r, false, PX_END_HOLDER_SILENT);
+    r->idle = false;
+    r->pending_since = ck_now();
+    px_pending_add(&r->pending, r->s->p->cfg.codec, r->txn, data, len);
+    if (r->pending.open > 0)
+        fail_unanswered(r, false, PX_END_HOLDER_SILENT);
 }
 
 /* The session there is over. */
-static void said_too_late(struct px_relay *r, const char *data, size_t len)
+static void refuse_late_input(struct px_relay *r, const char *data, size_t len)
 {
     struct px_session *s = r->s;
     s->arrived = ck_now();
-    px_pending_add(&r->q, s->p->cfg.codec, r->txn, data, len);
-    if (r->q.open == 0)
+    px_pending_add(&r->pending, s->p->cfg.codec, r->txn, data, len);
+    if (r->pending.open == 0)
         return; /* not whole yet */
-    tell_not_run(r);
-    end_left(r, ck_now());
+    fail_not_run(r);
+    finish_ending(r, ck_now());
 }
 
 void px_relay_input(struct px_session *s, const char *data, size_t len)
 {
     struct px_relay *r = s->relay;
-    if (r->left) {
-        said_too_late(r, data, len);
+    if (r->ending) {
+        refuse_late_input(r, data, len);
         return;
     }
-    if (!r->greeted && s->in.len + len <= MAX_QUEUED) {
+    if (!r->greeted && s->in.len + len <= MAX_QUEUED_BYTES) {
         sr_buf_add(&s->in, data, len);
         return;
     }
-    if (r->greeted && r->nb->b.state == NB_SILENT && !r->asked) {
-        unsent(r, data, len);
+    if (r->greeted && r->nb->b.state == NB_SILENT && !r->has_pending) {
+        refuse_unsent(r, data, len);
         return;
     }
-    if (!r->net || !r->greeted || nt_queued(r->net) > MAX_QUEUED) {
+    if (!r->net || !r->greeted || nt_queued(r->net) > MAX_QUEUED_BYTES) {
         px_close(s, PX_END_QUEUE_FULL, true);
         return;
     }
-    send_there(r, data, len);
+    send_to_node(r, data, len);
 }
 
 void px_relay_stop(struct px_session *s)
@@ -466,69 +470,69 @@
 }
 
 /* The other node refuses it as soon as it has the same document, but may be cut off from it. */
-static bool key_is_gone(struct px_session *s)
+static bool key_removed(struct px_session *s)
 {
     const struct cg_route *r = cg_route(&s->p->catalog, sr_from(s->database));
     return r && !px_identify(s, r);
 }
 
 /* What may be kept can't be told before its time is over: an answer may come still. */
-static int64_t longest_wait(const struct px_session *s)
+static int64_t time_limit_us(const struct px_session *s)
 {
     const struct cg_route *route = cg_route(&s->p->catalog, sr_from(s->database));
     return route ? route->limit_us : 0;
 }
 
 /* The session is at a node that is silent. */
-static void leave_silent(struct px_relay *r, int64_t now)
+static void handle_silent_node(struct px_relay *r, int64_t now)
 {
     struct px_session *s = r->s;
-    if (r->asked) {
-        if (px_pending_harmless(&r->q) ||
-            px_received_until(s->p) - r->asked_at > longest_wait(s))
-            tell_unanswered(r, true, PX_END_HOLDER_SILENT);
-    } else if (r->rests && now - r->nb->b.silent_at > px_stagger_us(s, MOVE_OVER_US)) {
-        leave(r, PX_END_HOLDER_SILENT);
+    if (r->has_pending) {
+        if (px_pending_harmless(&r->pending) ||
+            px_received_until(s->p) - r->pending_since > time_limit_us(s))
+            fail_unanswered(r, true, PX_END_HOLDER_SILENT);
+    } else if (r->idle && now - r->nb->b.silent_at > px_stagger_us(s, STAGGER_CLOSE_US)) {
+        begin_ending(r, PX_END_HOLDER_SILENT);
     }
 }
 
-static void watch(struct px_relay *r, int64_t now)
+static void check_answer_time(struct px_relay *r, int64_t now)
 {
-    if (r->left || !r->s->net)
+    if (r->ending || !r->s->net)
         return;
-    if (r->asked)
-        nb_waits(&r->nb->b, r->asked_at, px_received_until(r->s->p));
+    if (r->has_pending)
+        nb_waits(&r->nb->b, r->pending_since, px_received_until(r->s->p));
     if (r->nb->b.state == NB_SILENT)
-        leave_silent(r, now);
+        handle_silent_node(r, now);
 }
 
-static void greeting_late(struct px_relay *r, int64_t now)
+static void on_greeting_timeout(struct px_relay *r, int64_t now)
 {
     struct px_proxy *p = r->s->p;
     if (px_disconnected(p) && !px_any_passes_on(p, now))
         p->isolated_until = now + ISOLATED_US;
-    r->late = true;
+    r->greeting_timed_out = true;
     nt_close(r->net, true);
 }
 
 void px_relay_tick(struct px_session *s, int64_t now)
 {
     struct px_relay *r = s->relay;
-    if (r && r->greeted && s->net && px_relay_idle(s) && !r->asked && key_is_gone(s)) {
+    if (r && r->greeted && s->net && px_relay_idle(s) && !r->has_pending && key_removed(s)) {
         px_end_idle(s, PX_END_REFUSED);
         return;
     }
-    if (r && r->left && s->net && !s->end_sent_at)
-        end_left(r, now);
+    if (r && r->ending && s->net && !s->end_sent_at)
+        finish_ending(r, now);
     if (!r || !r->net)
         return;
     if (r->greeted) {
-        watch(r, now);
+        check_answer_time(r, now);
         return;
     }
-    int64_t heard = px_received_until(s->p);
-    if (!r->by_other)
-        nb_waits(&r->nb->b, r->began, heard);
-    if (heard - r->began > GREET_US || r->nb->b.state == NB_SILENT)
-        greeting_late(r, now);
+    int64_t received_until = px_received_until(s->p);
+    if (!r->via_non_holder)
+        nb_waits(&r->nb->b, r->step_began, received_until);
+    if (received_until - r->step_began > GREETING_TIMEOUT_US || r->nb->b.state == NB_SILENT)
+        on_greeting_timeout(r, now);
 }
--- a/proxy/session.c
+++ b/proxy/session.c
@@ -5,15 +5,15 @@
 #include "proxy/priv.h"
 
 enum {
-    UNANSWERED_OPEN_US = 1500000,    /* without a document nobody can be told what there is */
-    CUT_OFF_CLOSE_OVER_US = 1000000, /* its resting sessions are closed, spread over so long */
+    OPEN_TIMEOUT_US = 1500000,  /* without a document nobody can be told what there is */
+    STAGGER_CLOSE_US = 1000000, /* its resting sessions are closed, spread over so long */
     /* A planned stop: callers are sent elsewhere by the balancer within two of its probes, then
      * sessions that rest are closed, spread over a while so that they don't all come back at
      * once; transactions may end meanwhile. Shares of the time until the process is killed. */
     STOP_CLOSE_FROM_PERCENT = 30,
     STOP_CLOSE_OVER_PERCENT = 25,
-    STOP_LEAVE_PERCENT = 60, /* relayed sessions go then, also from failed transactions */
-    LEAVE_US = 1000000,      /* who relays a session closes it at once, or has gone */
+    STOP_END_RELAYED_PERCENT = 60, /* relayed sessions go then, also from failed transactions */
+    END_TIMEOUT_US = 1000000,      /* who relays a session closes it at once, or has gone */
 };
 
 /* ---- opening ---- */
@@ -68,7 +68,7 @@
 
 /* ---- the connection ---- */
 
-static void take(struct px_session *s, const struct px_msg *m)
+static void handle_message(struct px_session *s, const struct px_msg *m)
 {
     if (m->kind == PX_END)
         px_close(s, PX_END_BY_CALLER, true);
@@ -80,7 +80,7 @@
         px_fail_and_close(s, ER_BAD_INPUT, "not a message that is expected here");
 }
 
-static void leave_if_due(struct px_session *s, int64_t now);
+static void end_if_moved(struct px_session *s, int64_t now);
 
 void px_session_resume(struct px_session *s)
 {
@@ -91,7 +91,7 @@
     s->handling_input = true;
     while (s->net && s->stage == PX_S_IDLE && (s->opened || !s->database[0]) &&
            px_next_msg(s->p->cfg.codec, &s->in, &at, &m))
-        take(s, &m);
+        handle_message(s, &m);
     s->handling_input = false;
     px_consume(&s->in, at);
     bool full = s->in.len > PX_MAX_LINE;
@@ -103,7 +103,7 @@
             nt_pause_reading(s->net, full);
     }
     if (s->net)
-        leave_if_due(s, ck_now()); /* a busy session rests for moments only */
+        end_if_moved(s, ck_now()); /* a busy session rests for moments only */
 }
 
 static void on_open(struct nt_conn *net, void *ud)
@@ -193,7 +193,7 @@
     try_open(s);
     if (s->opened)
         px_session_resume(s);
-    else if (!s->relay && px_received_until(s->p) - s->idle_since > UNANSWERED_OPEN_US)
+    else if (!s->relay && px_received_until(s->p) - s->idle_since > OPEN_TIMEOUT_US)
         px_fail_and_close(s, ER_NO_LEASE, "no configuration has come yet; retry in 500 ms");
 }
 
@@ -201,14 +201,14 @@
 static void txn_tick(struct px_session *s)
 {
     int64_t bound = s->p->catalog.txn_idle_us;
-    bool rests = s->txn != PX_IDLE && s->stage == PX_S_IDLE;
-    if (!rests || !bound || px_received_until(s->p) - s->idle_since < bound)
+    bool idle = s->txn != PX_IDLE && s->stage == PX_S_IDLE;
+    if (!idle || !bound || px_received_until(s->p) - s->idle_since < bound)
         return;
     if (s->conn)
         px_abort_txn(s);
 }
 
-static bool rests(const struct px_session *s)
+static bool is_idle(const struct px_session *s)
 {
     if (s->end_sent_at || s->ended)
         return false;
@@ -233,9 +233,9 @@
     sr_buf_free(&b);
 }
 
-static void left_tick(struct px_session *s, int64_t now)
+static void end_sent_tick(struct px_session *s, int64_t now)
 {
-    if (now - s->end_sent_at > LEAVE_US)
+    if (now - s->end_sent_at > END_TIMEOUT_US)
         px_close(s, PX_END_TIMEOUT, true);
 }
 
@@ -245,14 +245,14 @@
 }
 
 /* Its caller finds another node, which can serve it, when it comes back. */
-static void cut_off_tick(struct px_session *s)
+static void disconnected_tick(struct px_session *s)
 {
     const struct px_proxy *p = s->p;
     int64_t since = p->leased_at + PX_DISCONNECTED_US;
     /* Once: where all nodes are cut off it would only come back to be closed again. */
-    if (s->relay || !px_disconnected(p) || !rests(s) || s->opened_at > p->leased_at)
+    if (s->relay || !px_disconnected(p) || !is_idle(s) || s->opened_at > p->leased_at)
         return;
-    if (px_received_until(p) - since > px_stagger_us(s, CUT_OFF_CLOSE_OVER_US))
+    if (px_received_until(p) - since > px_stagger_us(s, STAGGER_CLOSE_US))
         px_end_idle(s, PX_END_MOVED);
 }
 
@@ -260,11 +260,11 @@
 static void moved_tick(struct px_session *s, int64_t now)
 {
     const struct px_group *g = px_group_of(s);
-    if (s->relay || !g || g->held || !rests(s))
+    if (s->relay || !g || g->held || !is_idle(s))
         return;
     if (s->p->stopping && !s->relayed_to_us)
         return; /* the balancer would send its caller here again: stop_tick */
-    if (now - g->let_go_at > px_stagger_us(s, CUT_OFF_CLOSE_OVER_US))
+    if (now - g->let_go_at > px_stagger_us(s, STAGGER_CLOSE_US))
         px_end_idle(s, PX_END_MOVED);
 }
 
@@ -273,11 +273,11 @@
     struct px_proxy *p = s->p;
     if (!p->stopping || s->end_sent_at)
         return;
-    bool late = now - p->stop_began > p->cfg.grace_us * STOP_LEAVE_PERCENT / 100;
+    bool late = now - p->stop_began > p->cfg.grace_us * STOP_END_RELAYED_PERCENT / 100;
     if (late && s->relayed_to_us && s->stage == PX_S_IDLE && s->in.len == 0 &&
         !px_relay_pending(s))
         px_end_idle(s, PX_END_MOVED);
-    if (!rests(s))
+    if (!is_idle(s))
         return;
     int64_t from = p->cfg.grace_us * STOP_CLOSE_FROM_PERCENT / 100;
     int64_t mine = px_stagger_us(s, p->cfg.grace_us * STOP_CLOSE_OVER_PERCENT / 100);
@@ -286,12 +286,12 @@
 }
 
 /* Its place is elsewhere: here, or this node, ends. */
-static void leave_if_due(struct px_session *s, int64_t now)
+static void end_if_moved(struct px_session *s, int64_t now)
 {
     if (s->end_sent_at)
         return;
     stop_tick(s, now);
-    cut_off_tick(s);
+    disconnected_tick(s);
     moved_tick(s, now);
 }
 
@@ -300,12 +300,12 @@
     for (struct px_session *s = p->sessions, *next; s; s = next) {
         next = s->next;
         if (s->end_sent_at) {
-            left_tick(s, now);
+            end_sent_tick(s, now);
             continue;
         }
         open_tick(s);
         txn_tick(s);
-        leave_if_due(s, now);
+        end_if_moved(s, now);
         px_relay_tick(s, now);
     }
 }
--- a/proxy/stages.h
+++ b/proxy/stages.h
@@ -27,7 +27,7 @@
     int64_t sum_us[PX_T_COUNT];
 };
 
-void px_stages_add(struct px_stages *t, enum px_latency_stage part, int64_t us);
+void px_stages_add(struct px_stages *t, enum px_latency_stage stage, int64_t us);
 /* "permit=12/0.4 wait=...": statements and their mean in ms, by stage; starts anew. False:
  * there was none since the last report. */
 bool px_stages_report(struct px_stages *t, struct sr_buf *out);
--- a/proxy/state.c
+++ b/proxy/state.c
@@ -4,14 +4,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-static char *copy(struct sr_str s)
+static char *dup_str(struct sr_str s)
 {
     char *p = sr_alloc(s.len + 1);
     sr_move(p, s.p, s.len);
     return p;
 }
 
-static bool is(const char *z, struct sr_str s)
+static bool str_equals(const char *z, struct sr_str s)
 {
     return sr_eq(sr_from(z), s);
 }
@@ -22,17 +22,17 @@
                   struct er_err *err)
 {
     int i = 0;
-    while (i < s->n_values && !is(s->values[i].name, name))
+    while (i < s->n_values && !str_equals(s->values[i].name, name))
         i++;
     if (i == PX_MAX_VALUES)
         return er_set(err, ER_TOO_LARGE, "%d values are the most of a session", PX_MAX_VALUES);
     if (i == s->n_values) {
         s->values = sr_realloc(s->values, sizeof(*s->values) * (size_t)(i + 1));
-        s->values[i] = (struct px_value){.name = copy(name)};
+        s->values[i] = (struct px_value){.name = dup_str(name)};
         s->n_values++;
     }
     free(s->values[i].value);
-    s->values[i].value = copy(value);
+    s->values[i].value = dup_str(value);
     s->values[i].version = ++s->version;
     return true;
 }
@@ -40,7 +40,7 @@
 static int prepared_at(const struct px_state *s, struct sr_str name)
 {
     for (int i = 0; i < s->n_prepared; i++) {
-        if (is(s->prepared[i].name, name))
+        if (str_equals(s->prepared[i].name, name))
             return i;
     }
     return -1;
@@ -56,7 +56,7 @@
                          bool writes)
 {
     *list = sr_realloc(*list, sizeof(**list) * (size_t)(*n + 1));
-    (*list)[(*n)++] = (struct px_prepared){name, copy(shape), writes};
+    (*list)[(*n)++] = (struct px_prepared){name, dup_str(shape), writes};
 }
 
 bool px_prepare(struct px_state *s, struct sr_str name, bool writes, struct sr_str shape,
@@ -65,14 +65,14 @@
     int i = prepared_at(s, name);
     if (i >= 0) {
         free(s->prepared[i].shape);
-        s->prepared[i].shape = copy(shape);
+        s->prepared[i].shape = dup_str(shape);
         s->prepared[i].writes = writes;
         return true;
     }
     if (s->n_prepared == PX_MAX_PREPARED)
         return er_set(err, ER_TOO_LARGE, "%d prepared statements are the most of a session",
                       PX_MAX_PREPARED);
-    add_prepared(&s->prepared, &s->n_prepared, copy(name), shape, writes);
+    add_prepared(&s->prepared, &s->n_prepared, dup_str(name), shape, writes);
     return true;
 }
 
@@ -133,9 +133,9 @@
                    const struct px_prepared *run, char name[PX_STMT_NAME], struct px_stmt *st)
 {
     *st = (struct px_stmt){.verb = PX_V_DISCARD};
-    bool others = a->session && a->session != s->session;
+    bool has_other = a->session && a->session != s->session;
     bool lacks = run && !px_prepared_name_on(a, run);
-    if (others || (lacks && a->n_prepared == PX_MAX_PREPARED_ON_CONN))
+    if (has_other || (lacks && a->n_prepared == PX_MAX_PREPARED_ON_CONN))
         return true;
     const struct px_value *v = next_value(s, a->session ? a->version : 0);
     if (v) {
@@ -145,7 +145,7 @@
     }
     if (!lacks)
         return false;
-    snprintf(name, PX_STMT_NAME, "p%u", a->named + 1);
+    snprintf(name, PX_STMT_NAME, "p%u", a->last_name + 1);
     *st = (struct px_stmt){.verb = PX_V_PREPARE,
                            .name = sr_from(name),
                            .writes = run->writes,
@@ -158,8 +158,8 @@
     for (int i = 0; i < a->n_prepared; i++)
         free_prepared(&a->prepared[i]);
     free(a->prepared);
-    unsigned named = a->named;
-    *a = (struct px_applied){.named = named};
+    unsigned last_name = a->last_name;
+    *a = (struct px_applied){.last_name = last_name};
 }
 
 void px_setup_done(const struct px_state *s, struct px_applied *a, const struct px_stmt *st)
@@ -171,7 +171,7 @@
         a->session = s->session;
         a->version = v ? v->version : s->version;
     } else if (st->verb == PX_V_PREPARE) {
-        a->named++;
-        add_prepared(&a->prepared, &a->n_prepared, copy(st->name), st->value, st->writes);
+        a->last_name++;
+        add_prepared(&a->prepared, &a->n_prepared, dup_str(st->name), st->value, st->writes);
     }
 }
--- a/proxy/state.h
+++ b/proxy/state.h
@@ -40,7 +40,7 @@
     uint64_t session; /* whose values it has; 0 none */
     uint64_t version;
     int n_prepared;
-    unsigned named;
+    unsigned last_name;
     struct px_prepared *prepared;
 };
 
--- a/proxy/statement.c
+++ b/proxy/statement.c
@@ -9,7 +9,7 @@
     px_refuse(s, kind, detail);
 }
 
-static void malformed(struct px_session *s, const char *why)
+static void refuse_malformed(struct px_session *s, const char *why)
 {
     refuse(s, ER_BAD_INPUT, why);
 }
@@ -32,10 +32,10 @@
     return true;
 }
 
-static void begin(struct px_session *s)
+static void begin_txn(struct px_session *s)
 {
     if (s->txn != PX_IDLE) {
-        malformed(s, "a transaction is open");
+        refuse_malformed(s, "a transaction is open");
         return;
     }
     if (!take_route(s))
@@ -53,10 +53,10 @@
     px_answer_local(s); /* it begins at an instance with its first statement */
 }
 
-static void rollback(struct px_session *s)
+static void rollback_txn(struct px_session *s)
 {
     if (s->txn == PX_IDLE) {
-        malformed(s, "no transaction is open");
+        refuse_malformed(s, "no transaction is open");
         return;
     }
     px_drop_txn(s);
@@ -64,10 +64,10 @@
     px_answer_local(s);
 }
 
-static void commit(struct px_session *s)
+static void commit_txn(struct px_session *s)
 {
     if (s->txn == PX_IDLE) {
-        malformed(s, "no transaction is open");
+        refuse_malformed(s, "no transaction is open");
         return;
     }
     s->writes = false;
@@ -80,19 +80,19 @@
 }
 
 /* In a failed transaction only its end is taken. */
-static bool in_failed(struct px_session *s)
+static bool refuse_if_failed(struct px_session *s)
 {
     if (s->txn != PX_TXN_FAILED)
         return false;
     if (s->txn_rolled_back)
         refuse(s, ER_ABORTED, "the transaction was rolled back");
     else
-        malformed(s, "the transaction has failed; it can only be ended");
+        refuse_malformed(s, "the transaction has failed; it can only be ended");
     return true;
 }
 
 /* Whether a prepared statement writes was said when it was prepared. */
-static bool take_prepared(struct px_session *s)
+static bool find_prepared(struct px_session *s)
 {
     const struct px_prepared *p = px_find_prepared(&s->state, s->stmt.name);
     struct er_err err = {0};
@@ -107,20 +107,20 @@
     return false;
 }
 
-static void run(struct px_session *s)
+static void run_statement(struct px_session *s)
 {
     bool begins = s->txn == PX_IDLE;
-    if (in_failed(s) || (begins && !take_route(s)))
+    if (refuse_if_failed(s) || (begins && !take_route(s)))
         return;
     if (begins)
         px_permit_begin(s);
     s->writes = s->stmt.verb == PX_V_WRITE;
-    if (s->stmt.verb == PX_V_EXECUTE && !take_prepared(s))
+    if (s->stmt.verb == PX_V_EXECUTE && !find_prepared(s))
         return;
     px_begin_work(s);
 }
 
-static bool apply(struct px_state *to, const struct px_stmt *st, struct er_err *err)
+static bool apply_to_state(struct px_state *to, const struct px_stmt *st, struct er_err *err)
 {
     if (st->verb == PX_V_SET)
         return px_set_value(to, st->name, st->value, err);
@@ -133,16 +133,16 @@
 static void change_state(struct px_session *s)
 {
     struct er_err err = {0};
-    if (in_failed(s))
+    if (refuse_if_failed(s))
         return;
-    if (apply(&s->state, &s->stmt, &err))
+    if (apply_to_state(&s->state, &s->stmt, &err))
         px_answer_local(s);
     else
         refuse(s, err.kind, err.text);
 }
 
 /* The line is kept: the text goes to an instance as it came, perhaps twice. */
-static void keep(struct px_session *s, const struct px_msg *m)
+static void keep_request(struct px_session *s, const struct px_msg *m)
 {
     s->request.len = 0;
     sr_buf_add(&s->request, m->id.p, m->id.len);
@@ -153,24 +153,24 @@
 
 void px_statement(struct px_session *s, const struct px_msg *m)
 {
-    keep(s, m);
+    keep_request(s, m);
     s->p->c.statements_served += s->relayed_to_us;
     s->p->cfg.codec->parse_text(s->text, &s->stmt);
     s->offers = 0;
     switch (s->stmt.verb) {
     case PX_V_BEGIN:
-        begin(s);
+        begin_txn(s);
         break;
     case PX_V_COMMIT:
-        commit(s);
+        commit_txn(s);
         break;
     case PX_V_ROLLBACK:
-        rollback(s);
+        rollback_txn(s);
         break;
     case PX_V_READ:
     case PX_V_WRITE:
     case PX_V_EXECUTE:
-        run(s);
+        run_statement(s);
         break;
     case PX_V_SET:
     case PX_V_PREPARE:
@@ -178,6 +178,6 @@
         change_state(s);
         break;
     default:
-        malformed(s, "not a statement of this interface");
+        refuse_malformed(s, "not a statement of this interface");
     }
 }
--- a/proxy/targets.c
+++ b/proxy/targets.c
@@ -23,7 +23,7 @@
 
 /* How far it is: own failure domain, own region, another. After the first try the own domain
  * is as good as any other of its region: it may be in trouble. */
-static int distance(const struct px_proxy *p, int i, bool near_first)
+static int distance_class(const struct px_proxy *p, int i, bool near_first)
 {
     int far = rt_distance(p->cfg.domain, p->nodes[i].domain);
     return far == 0 && !near_first ? 1 : far;
@@ -31,8 +31,8 @@
 
 /* The near ones first: a shorter trip, and no bytes between failure domains or regions. Among
  * those alike from a place of the session's own on, so that sessions spread over them. */
-static int by_place(const struct px_session *s, const struct px_group *g, bool near_first,
-                    int *out)
+static int order_by_distance(const struct px_session *s, const struct px_group *g,
+                             bool near_first, int *out)
 {
     const struct px_proxy *p = s->p;
     uint64_t n = (uint64_t)g->n_holders;
@@ -40,7 +40,7 @@
     for (int far = 0; far < PX_DISTANCES; far++) {
         for (uint64_t h = 0; h < n; h++) {
             int i = g->holders[(s->state.session + h) % n];
-            if (distance(p, i, near_first) == far)
+            if (distance_class(p, i, near_first) == far)
                 out[k++] = i;
         }
     }
@@ -50,11 +50,12 @@
 /* Where connections belong to accounts, an account's sessions meet where its connections are,
  * near or not: of 78 accounts on three connections each node would open one for nearly each
  * statement otherwise. */
-static int order_of(const struct px_session *s, struct px_group *g, bool near_first, int *out)
+static int holder_order(const struct px_session *s, struct px_group *g, bool near_first,
+                        int *out)
 {
     if (px_has_accounts(s->p))
         return px_holders_for(s, g, out);
-    return by_place(s, g, near_first, out);
+    return order_by_distance(s, g, near_first, out);
 }
 
 /* The first of the best rank; -1: none is left. */
@@ -62,7 +63,7 @@
                        const struct px_tried_nodes *t, int64_t now)
 {
     const struct px_proxy *p = s->p;
-    int order[HO_MAX_HOLDERS], best = -1, n = order_of(s, g, t->n == 0, order);
+    int order[HO_MAX_HOLDERS], best = -1, n = holder_order(s, g, t->n == 0, order);
     enum nb_rank rank = NB_NEVER;
     for (int k = 0; k < n; k++) {
         int i = order[k];
@@ -80,10 +81,10 @@
 /* ---- nodes that pass on ---- */
 
 enum {
-    TRY_OTHERS_EVERY = 4, /* of the sessions, one goes to a node that is not known to */
+    TRY_UNKNOWN_EVERY = 4, /* of the sessions, one goes to a node that is not known to */
     /* While nobody is known to, one session in so long looks for a way; the others are told at
      * once, so that their callers have time to try another node. */
-    SEEK_EVERY_US = 200000,
+    SEEK_INTERVAL_US = 200000,
 };
 
 static bool holds(const struct px_group *g, int i)
@@ -96,18 +97,18 @@
 }
 
 /* Each node and session draws its own order, so that those that pass on share the load. */
-static uint64_t draw(const struct px_session *s, uint64_t node_hash)
+static uint64_t draw_weight(const struct px_session *s, uint64_t node_hash)
 {
     uint64_t own = s->state.session * 0x9E3779B97F4A7C15ull ^ s->p->cfg.seed;
     uint64_t x = (node_hash ^ own) * 0xBF58476D1CE4E5B9ull;
     return x ^ (x >> 31);
 }
 
-static int pick_other(const struct px_session *s, const struct px_group *g,
-                      const struct px_tried_nodes *t, int64_t now)
+static int pick_non_holder(const struct px_session *s, const struct px_group *g,
+                           const struct px_tried_nodes *t, int64_t now)
 {
     const struct px_proxy *p = s->p;
-    bool known_first = s->state.session % TRY_OTHERS_EVERY != 0;
+    bool known_first = s->state.session % TRY_UNKNOWN_EVERY != 0;
     int best = -1;
     bool best_known = false;
     uint64_t best_draw = 0;
@@ -117,7 +118,7 @@
             px_neighbor_rank(p, x, now) >= NB_LAST)
             continue;
         bool known = known_first && px_neighbor_passes_on(p, x, now);
-        uint64_t d = draw(s, x->hash);
+        uint64_t d = draw_weight(s, x->hash);
         if (best < 0 || known > best_known || (known == best_known && d > best_draw)) {
             best = i;
             best_known = known;
@@ -132,7 +133,7 @@
 {
     if (seeks || px_any_passes_on(p, now))
         return true;
-    if (now - p->last_seek_at < SEEK_EVERY_US)
+    if (now - p->last_seek_at < SEEK_INTERVAL_US)
         return false;
     p->last_seek_at = now;
     return true;
@@ -156,7 +157,7 @@
     to.node = pick_holder(s, g, t, now);
     if (to.node >= 0 || s->relayed_to_us || !may_seek(s->p, seeks, now))
         return to;
-    to.node = pick_other(s, g, t, now);
+    to.node = pick_non_holder(s, g, t, now);
     to.passes_on = to.node >= 0;
     return to;
 }
--- a/proxy/work.c
+++ b/proxy/work.c
@@ -6,12 +6,13 @@
     /* Waiting for a connection is given up after this share of what the operation should take:
      * a refusal then still leaves its caller time to try another node. */
     WAIT_PERCENT = 70,
-    LEAST_WAIT_US = 30000,
-    MOVE_US = 20000, /* waiting at an instance for longer, a read may move to another */
+    MIN_WAIT_US = 30000,
+    MOVE_READ_AFTER_US =
+        20000, /* waiting at an instance for longer, a read may move to another */
     /* A read without an answer is asked of another instance after this share of its aim, but
      * not before a few times what a statement takes there. */
     HEDGE_PERCENT = 45,
-    HEDGE_TIMES = 4,
+    HEDGE_SERVICE_TIMES = 4,
 };
 
 /* Whether running it twice, or having run it in vain, harms nobody. */
@@ -22,10 +23,10 @@
 
 /* ---- beginning and ending ---- */
 
-void px_stage_done(struct px_session *s, enum px_latency_stage part)
+void px_stage_done(struct px_session *s, enum px_latency_stage stage)
 {
     int64_t now = ck_now();
-    px_stages_add(&s->p->stages, part, now - s->stage_since);
+    px_stages_add(&s->p->stages, stage, now - s->stage_since);
     s->stage_since = now;
 }
 
@@ -103,7 +104,7 @@
 }
 
 /* A read that may be old: any instance whose log holds the floor. */
-static struct px_inst *place_read(struct px_session *s, struct px_group *g, int64_t now)
+static struct px_inst *choose_for_read(struct px_session *s, struct px_group *g, int64_t now)
 {
     struct px_candidate c[VW_MAX_INSTANCES];
     struct ps_pos floor;
@@ -121,11 +122,11 @@
     return i < 0 ? NULL : g->inst[i];
 }
 
-static struct px_inst *place(struct px_session *s, struct px_group *g, int64_t now)
+static struct px_inst *choose_instance(struct px_session *s, struct px_group *g, int64_t now)
 {
     s->has_floor = false;
     if (!px_needs_primary(s)) {
-        struct px_inst *in = place_read(s, g, now);
+        struct px_inst *in = choose_for_read(s, g, now);
         /* The primary of a term in force misses nothing: a position that was lost with the term
          * before must not keep the session from reading. */
         if (in && in == px_primary(g, now))
@@ -155,7 +156,7 @@
         return;
     }
     struct px_group *g = px_group_of(s);
-    struct px_inst *in = g ? place(s, g, now) : NULL;
+    struct px_inst *in = g ? choose_instance(s, g, now) : NULL;
     if (!in) {
         s->skip_mask = 0; /* nobody is left: all may be asked again */
         px_park(s, now + PX_PARK_US);
@@ -184,11 +185,11 @@
 
 /* ---- time ---- */
 
-static int64_t patience(const struct px_session *s)
+static int64_t hedge_delay_us(const struct px_session *s)
 {
-    int64_t by_aim = s->route.aim_us * HEDGE_PERCENT / 100;
-    int64_t by_pace = s->inst->service_us * HEDGE_TIMES;
-    return by_aim > by_pace ? by_aim : by_pace;
+    int64_t by_target = s->route.aim_us * HEDGE_PERCENT / 100;
+    int64_t by_service_time = s->inst->service_us * HEDGE_SERVICE_TIMES;
+    return by_target > by_service_time ? by_target : by_service_time;
 }
 
 /* A read that got no answer for long is asked of another instance; its first answer is not
@@ -198,7 +199,7 @@
     struct px_conn *c = s->conn;
     if (!repeatable(s) || px_needs_primary(s) || px_last_try(s))
         return;
-    if (c->phase != PX_C_RUNNING || px_received_until(s->p) - s->sent_at < patience(s))
+    if (c->phase != PX_C_RUNNING || px_received_until(s->p) - s->sent_at < hedge_delay_us(s))
         return;
     s->skip_mask |= 1u << c->inst->at;
     s->conn = NULL;
@@ -206,23 +207,23 @@
     px_retry(s, 0, true);
 }
 
-static int64_t longest_wait(const struct px_session *s)
+static int64_t max_wait_us(const struct px_session *s)
 {
     int64_t us = s->route.aim_us * WAIT_PERCENT / 100;
-    return us > LEAST_WAIT_US ? us : LEAST_WAIT_US;
+    return us > MIN_WAIT_US ? us : MIN_WAIT_US;
 }
 
 /* Where it waits no connection comes free; another instance may have one. */
 static void wait_tick(struct px_session *s, int64_t now)
 {
-    if (px_received_until(s->p) - s->arrived > longest_wait(s)) {
+    if (px_received_until(s->p) - s->arrived > max_wait_us(s)) {
         if (s->inst->at == s->inst->group->cfg.primary)
             s->inst->group->refused_at = now;
         px_refuse(s, ER_OVERLOAD, "no connection to the database is free; retry in 100 ms");
         return;
     }
     bool usable = px_inst_usable(s->inst, now);
-    bool may_move = !px_needs_primary(s) && now - s->waiting_since > MOVE_US;
+    bool may_move = !px_needs_primary(s) && now - s->waiting_since > MOVE_READ_AFTER_US;
     if (usable && !may_move)
         return;
     px_inst_unwait(s->inst, s);
@@ -244,7 +245,7 @@
     else if (s->stage == PX_S_PARKED && px_disconnected(s->p))
         px_refuse(s, ER_NO_LEASE, "this node is cut off; another may serve it, at once");
     else if (s->permit == PX_PERMIT_NEEDED &&
-             px_received_until(s->p) - s->arrived > longest_wait(s))
+             px_received_until(s->p) - s->arrived > max_wait_us(s))
         px_refuse(s, ER_LIMIT, "no permit for the account has come; retry in 200 ms");
     else if (s->stage == PX_S_PARKED && now >= s->retry_at)
         px_route_work(s);
