--- a/proxy/answer.c
+++ b/proxy/answer.c
@@ -1,13 +1,15 @@
-/* What callers are told, and what is noted of it. */
+/* Answers to callers, with their counters and log lines. */
 #include "proxy/priv.h"
 
-enum { FAILURE_LINES_PER_S = 20 }; /* of the log; more are counted */
+/* Failure lines logged per second; further ones are counted. */
+enum { FAILURE_LINES_PER_S = 20 };
 
 static const struct ps_pos no_pos;
 
-/* ---- noting ---- */
+/* ---- counters and log ---- */
 
-/* A few lines a second, the rest counted: a bad hour must not fill the disk. */
+/* Limits failure lines to a few per second, so that a long failure does not fill the disk; the
+ * rest are counted. */
 static bool may_log(struct px_proxy *p)
 {
     int64_t now = ck_now();
@@ -23,7 +25,8 @@
     return false;
 }
 
-/* Instances of the group that lacked a position a moment ago: why the others are full. */
+/* The number of the group's instances that lacked a position a moment ago, which explains why
+ * the others are busy. */
 static int count_behind(const struct px_group *g, int64_t now)
 {
     int k = 0;
@@ -59,7 +62,7 @@
 
 /* ---- sending ---- */
 
-/* Send what *b holds and free it. */
+/* Sends the content of *b and frees it. */
 static void send_and_free(struct px_session *s, struct sr_buf *b)
 {
     if (s->net)
@@ -142,7 +145,8 @@
 
 void px_fail_disconnected(struct px_session *s)
 {
-    px_fail_and_close(s, ER_NO_LEASE, "this node is cut off; another may serve it, at once");
+    px_fail_and_close(s, ER_NO_LEASE,
+                      "this node is disconnected from control; retry at another node at once");
 }
 
 static const char *const end_names[PX_END_REASONS] = {
--- a/proxy/outcome.c
+++ b/proxy/outcome.c
@@ -1,15 +1,16 @@
-/* What comes of a statement: an answer, a refusal, a lost connection, or nothing in its time;
- * and what that does to its transaction. */
+/* The outcome of a statement (an answer, a refusal, a lost connection or a timeout) and its
+ * effect on the transaction. */
 #include "proxy/priv.h"
 
 enum {
-    /* An instance that lacked a position is not asked for one like it so long. Origin: measured
-     * days; asked at once again, two lagging replicas cost 600 vain questions a second. */
+    /* An instance that lacked a position gets no read with such a floor for this long. Without
+     * the pause, two lagging replicas got 600 useless requests a second. */
     BEHIND_PAUSE_US = 250000,
-    BUSY_RETRY_US = 15000, /* an instance's queue was full */
+    BUSY_RETRY_US = 15000, /* delay of a retry at an instance whose queue was full */
 };
 
-/* The connection is for others now, once what is open on it is rolled back. */
+/* Makes the connection available to other sessions, after a rollback if a transaction is open
+ * on it. */
 static void release(struct px_conn *c)
 {
     if (c->state == PX_IDLE)
@@ -25,13 +26,13 @@
     release(c);
 }
 
-/* ---- another try ---- */
+/* ---- retries ---- */
 
-/* This statement is not offered to the instance again, unless no other is left. */
+/* Excludes the instance for this statement, unless no other is left. */
 static void skip_instance(struct px_session *s, const struct px_inst *in)
 {
     if (in->gone)
-        return; /* its place in the group is another's now */
+        return; /* its index in the group belongs to another instance now */
     s->skip_mask |= 1u << in->at;
 }
 
@@ -42,7 +43,7 @@
     in->behind_until = ck_now() + BEHIND_PAUSE_US;
 }
 
-/* The view's primary says that it is none. */
+/* The instance that is primary in the view replied that it is not primary. */
 static void note_not_primary(struct px_inst *in)
 {
     if (in->gone)
@@ -61,7 +62,8 @@
     return px_retry(s, after_us, true);
 }
 
-/* What the connection has prepared is not what we thought. */
+/* Retries on another connection: the prepared statements on this one differ from what was
+ * recorded. */
 static bool retry_on_new_conn(struct px_session *s, struct px_conn *c)
 {
     if (px_last_try(s))
@@ -72,7 +74,7 @@
     return px_retry(s, 0, true);
 }
 
-/* The instance said no before it ran anything, or a read failed there: somewhere else. */
+/* Retries a statement that the instance refused before it ran, or a read that failed there. */
 static bool retry_after_refusal(struct px_session *s, struct px_conn *c)
 {
     bool primary_only = px_needs_primary(s);
@@ -130,7 +132,7 @@
         s->txn_wrote = s->txn_wrote || s->writes;
     s->txn = ends ? PX_IDLE : c->state;
     if (!ends && c->state == PX_IDLE)
-        s->txn = PX_TXN_FAILED; /* it is not open there any more: nothing of it is kept */
+        s->txn = PX_TXN_FAILED; /* the instance has rolled it back: nothing of it is kept */
     s->conn = NULL;
     px_end_work(s);
     if (s->txn != PX_IDLE && c->state != PX_IDLE) {
@@ -167,7 +169,7 @@
     release(c);
 }
 
-/* ---- what goes wrong on the way ---- */
+/* ---- errors ---- */
 
 void px_on_not_sent(struct px_session *s, struct px_conn *c, enum er_kind why)
 {
@@ -180,30 +182,33 @@
         skip_instance(s, in);
     bool counts = why != ER_BEHIND && why != ER_TERM;
     if (!px_retry(s, why == ER_BEHIND ? 0 : PX_PARK_US, counts))
-        px_refuse(s, ER_OVERLOAD, "instances refused what it needs first; retry in 100 ms");
+        px_refuse(s, ER_OVERLOAD,
+                  "instances refused the setup of the statement; retry in 100 ms");
 }
 
-/* It is rolled back at its instance; the caller is told with its next statement. */
+/* Marks the transaction as rolled back at the instance; the caller learns of it with its next
+ * statement. */
 static void fail_txn(struct px_session *s)
 {
     s->txn = PX_TXN_FAILED;
     s->txn_rolled_back = true;
 }
 
-/* A transaction's connection is gone: it was rolled back, unless its commit was under way. */
+/* The transaction's connection was lost: the transaction was rolled back, unless its COMMIT had
+ * been sent, whose outcome is unknown. */
 static void txn_lost(struct px_session *s, bool sent)
 {
     bool ends = s->stmt.verb == PX_V_COMMIT;
     bool in_doubt = ends && s->txn_wrote && sent;
-    if (s->stage == PX_S_IDLE) { /* between two statements: the next one is told */
+    if (s->stage == PX_S_IDLE) { /* idle in transaction: the next statement gets the error */
         fail_txn(s);
         return;
     }
     s->txn = ends ? PX_IDLE : PX_TXN_FAILED;
     s->txn_rolled_back = !ends;
     px_refuse(s, in_doubt ? ER_LOST : ER_ABORTED,
-              in_doubt ? "the connection was lost with the commit on its way"
-                       : "the connection was lost; nothing of the transaction is kept");
+              in_doubt ? "the connection was lost after the commit was sent"
+                       : "the connection was lost; the transaction was rolled back");
 }
 
 void px_on_conn_lost(struct px_session *s, struct px_conn *c, bool sent)
@@ -221,7 +226,7 @@
         return;
     }
     if (s->writes) {
-        px_refuse(s, ER_LOST, "the connection was lost with the write on its way");
+        px_refuse(s, ER_LOST, "the connection was lost after the write was sent");
         return;
     }
     if (!px_retry(s, 0, true))
@@ -246,9 +251,10 @@
     fail_txn(s);
 }
 
-/* ---- its time is up ---- */
+/* ---- deadlines ---- */
 
-/* A transaction's time is up. A commit that is out may be carried out still. */
+/* Ends a statement of a transaction whose deadline has passed. A COMMIT that was sent may still
+ * be carried out. */
 static void expire_txn(struct px_session *s, struct px_conn *c, bool sent)
 {
     bool ends = s->stmt.verb == PX_V_COMMIT;
@@ -258,15 +264,15 @@
     if (ends)
         px_conn_orphan(c);
     else
-        px_conn_close(c); /* which rolls back */
+        px_conn_close(c); /* the instance rolls back */
     s->txn = ends ? PX_IDLE : PX_TXN_FAILED;
     s->txn_rolled_back = !ends;
     px_refuse(s, in_doubt ? ER_TIMEOUT : ER_ABORTED,
-              in_doubt ? "no answer to the commit in its time"
-                       : "no answer in its time; the transaction was rolled back");
+              in_doubt ? "no answer to the commit before its deadline"
+                       : "no answer before the deadline; the transaction was rolled back");
 }
 
-/* The time is up while its answer is out. */
+/* The deadline has passed while the statement is at an instance. */
 static void expire_at_instance(struct px_session *s)
 {
     struct px_conn *c = s->conn;
@@ -278,9 +284,9 @@
     s->conn = NULL;
     px_conn_orphan(c);
     if (!sent)
-        px_refuse(s, ER_DEADLINE, "not sent in its time; retry in 100 ms");
+        px_refuse(s, ER_DEADLINE, "not sent before the deadline; retry in 100 ms");
     else
-        px_refuse(s, ER_TIMEOUT, "no answer in its time");
+        px_refuse(s, ER_TIMEOUT, "no answer before the deadline");
 }
 
 void px_expire(struct px_session *s)
@@ -288,5 +294,6 @@
     if (s->stage == PX_S_AT_INSTANCE && s->conn)
         expire_at_instance(s);
     else
-        px_refuse(s, ER_DEADLINE, "no instance could take it in its time; retry in 200 ms");
+        px_refuse(s, ER_DEADLINE,
+                  "no instance was available before the deadline; retry in 200 ms");
 }
--- a/proxy/session.c
+++ b/proxy/session.c
@@ -1,30 +1,36 @@
-/* Callers' sessions: their connections, from the greeting to the close. What they say is at
- * statement.c, what they are told at answer.c. */
+/* Callers' sessions: their connections, from the greeting to the close. statement.c handles
+ * what callers send, answer.c what they are sent. */
 #include <stdlib.h>
 
 #include "proxy/priv.h"
 
 enum {
-    OPEN_TIMEOUT_US = 1500000,  /* without a document nobody can be told what there is */
-    STAGGER_CLOSE_US = 1000000, /* its resting sessions are closed, spread over so long */
-    /* A planned stop: callers are sent elsewhere by the balancer within two of its probes, then
-     * sessions that rest are closed, spread over a while so that they don't all come back at
-     * once; transactions may end meanwhile. Shares of the time until the process is killed. */
+    /* Time to receive a first document: without one no session can open. */
+    OPEN_TIMEOUT_US = 1500000,
+    /* Period over which idle sessions of a disconnected node are closed. */
+    STAGGER_CLOSE_US = 1000000,
+    /* Planned stop. The load balancer stops sending callers here within two of its health
+     * checks; then idle sessions are closed, staggered so that they don't all reconnect at
+     * once. Open transactions may end in the meantime. The values are percentages of the time
+     * until the process is killed. */
     STOP_CLOSE_FROM_PERCENT = 30,
     STOP_CLOSE_OVER_PERCENT = 25,
-    STOP_END_RELAYED_PERCENT = 60, /* relayed sessions go then, also from failed transactions */
-    END_TIMEOUT_US = 1000000,      /* who relays a session closes it at once, or has gone */
+    /* From then on relayed sessions end too, even in a failed transaction. */
+    STOP_END_RELAYED_PERCENT = 60,
+    /* Time for the relaying node to close the connection after PX_END. */
+    END_TIMEOUT_US = 1000000,
 };
 
 /* ---- opening ---- */
 
-/* Without a document it can't be told whether the database is there: it waits a while. */
+/* Opens the session if that is possible now, or else refuses or relays it. While no document is
+ * in force, whether the database exists is unknown, so the session waits. */
 static void try_open(struct px_session *s)
 {
     if (!px_configured(s->p))
         return;
     if (s->p->catalog.version < s->min_document)
-        return; /* who relays it acts on a newer document: it comes, or another is asked */
+        return; /* wait for the document of the relaying node, or that node tries another */
     const struct cg_route *r = cg_route(&s->p->catalog, sr_from(s->database));
     if (!r) {
         px_fail_and_close(s, ER_NO_DATABASE, s->database);
@@ -35,7 +41,7 @@
         return;
     }
     if (!px_knows_nodes(s->p))
-        return; /* it may have to be relayed */
+        return; /* whether to relay the session is not known yet */
     if (px_should_relay(s)) {
         px_relay_start(s);
         return;
@@ -54,11 +60,12 @@
     s->relayed_to_us = px_parse_relayed(m, &s->min_document, &s->may_pass_on);
     if (s->relayed_to_us)
         nt_meter(s->net, &s->p->served_traffic);
-    /* One that is too long is nobody's. */
+    /* A key that is too long belongs to no account. */
     if (!sr_copy(s->key, sizeof(s->key), s->relayed_to_us ? m->expect : m->identity))
         s->key[0] = 0;
-    /* Closed before a greeting, so that another holder is asked. A node that is cut off from
-     * control is listed for three seconds more and would refuse whatever it is asked. */
+    /* The connection is closed before a greeting so that the relaying node tries another
+     * holder. A node that is disconnected from control is listed for another 3 s and would
+     * refuse every request. */
     if (s->relayed_to_us && (s->p->stopping || px_disconnected(s->p))) {
         px_close(s, PX_END_NOT_ACCEPTED, true);
         return;
@@ -77,7 +84,7 @@
     else if (m->kind == PX_STATEMENT && s->opened)
         px_statement(s, m);
     else
-        px_fail_and_close(s, ER_BAD_INPUT, "not a message that is expected here");
+        px_fail_and_close(s, ER_BAD_INPUT, "unexpected message in this state of the session");
 }
 
 static void end_if_moved(struct px_session *s, int64_t now);
@@ -87,7 +94,7 @@
     struct px_msg m;
     size_t at = 0;
     if (s->handling_input)
-        return; /* the loop below goes on by itself */
+        return; /* called from the loop below, which continues by itself */
     s->handling_input = true;
     while (s->net && s->stage == PX_S_IDLE && (s->opened || !s->database[0]) &&
            px_next_msg(s->p->cfg.codec, &s->in, &at, &m))
@@ -98,12 +105,13 @@
     if (s->net && full != s->reading_paused) {
         s->reading_paused = full;
         if (full && s->stage == PX_S_IDLE)
-            px_fail_and_close(s, ER_TOO_LARGE, "a message of more than 1 MiB");
+            px_fail_and_close(s, ER_TOO_LARGE, "message exceeds 1 MiB");
         else
             nt_pause_reading(s->net, full);
     }
+    /* A busy session is idle only briefly, so it is checked here too. */
     if (s->net)
-        end_if_moved(s, ck_now()); /* a busy session rests for moments only */
+        end_if_moved(s, ck_now());
 }
 
 static void on_open(struct nt_conn *net, void *ud)
@@ -117,7 +125,7 @@
     struct px_session *s = ud;
     (void)net;
     if (s->end_sent_at)
-        return; /* said not to be run */
+        return; /* PX_END told the relaying node that this input does not run */
     if (s->relay) {
         px_relay_input(s, data, len);
         return;
@@ -184,7 +192,7 @@
     return p->listener != NULL;
 }
 
-/* ---- time ---- */
+/* ---- time limits ---- */
 
 static void open_tick(struct px_session *s)
 {
@@ -194,10 +202,12 @@
     if (s->opened)
         px_session_resume(s);
     else if (!s->relay && px_received_until(s->p) - s->idle_since > OPEN_TIMEOUT_US)
-        px_fail_and_close(s, ER_NO_LEASE, "no configuration has come yet; retry in 500 ms");
+        px_fail_and_close(s, ER_NO_LEASE,
+                          "no configuration document received yet; retry in 500 ms");
 }
 
-/* A transaction that rests too long holds a connection that others wait for. */
+/* Rolls back a transaction that is idle for too long, as it holds a connection that others wait
+ * for. */
 static void txn_tick(struct px_session *s)
 {
     int64_t bound = s->p->catalog.txn_idle_us;
@@ -217,8 +227,9 @@
     return s->opened && s->stage == PX_S_IDLE && s->txn == PX_IDLE && s->in.len == 0;
 }
 
-/* What a caller sends after the close met it on its way. A question that another node passed on
- * would be lost, so that node is told first, and what still comes is not run. */
+/* A request that is on its way when the connection is closed would be lost, also one that
+ * another node passes on for its caller. So that node gets PX_END first, and what still arrives
+ * is not run. */
 void px_end_idle(struct px_session *s, enum px_end_reason why)
 {
     struct sr_buf b = {0};
@@ -244,26 +255,29 @@
     return (int64_t)(s->state.session * 0x9E3779B97F4A7C15ull % (uint64_t)(span_us + 1));
 }
 
-/* Its caller finds another node, which can serve it, when it comes back. */
+/* Closes an idle session of a node that is disconnected from control: its caller reconnects to
+ * another node, which can serve it. */
 static void disconnected_tick(struct px_session *s)
 {
     const struct px_proxy *p = s->p;
     int64_t since = p->leased_at + PX_DISCONNECTED_US;
-    /* Once: where all nodes are cut off it would only come back to be closed again. */
+    /* Only sessions opened before the lease was lost are closed: if all nodes are disconnected,
+     * a session that reconnects here would just be closed again. */
     if (s->relay || !px_disconnected(p) || !is_idle(s) || s->opened_at > p->leased_at)
         return;
     if (px_received_until(p) - since > px_stagger_us(s, STAGGER_CLOSE_US))
         px_end_idle(s, PX_END_MOVED);
 }
 
-/* Another node holds the group now: the session's next life is there. */
+/* Closes an idle session whose group another node holds now; the caller reconnects and is
+ * relayed there. */
 static void moved_tick(struct px_session *s, int64_t now)
 {
     const struct px_group *g = px_group_of(s);
     if (s->relay || !g || g->held || !is_idle(s))
         return;
     if (s->p->stopping && !s->relayed_to_us)
-        return; /* the balancer would send its caller here again: stop_tick */
+        return; /* the balancer would send the caller back here; stop_tick closes it */
     if (now - g->let_go_at > px_stagger_us(s, STAGGER_CLOSE_US))
         px_end_idle(s, PX_END_MOVED);
 }
@@ -285,7 +299,7 @@
         px_end_idle(s, PX_END_MOVED);
 }
 
-/* Its place is elsewhere: here, or this node, ends. */
+/* Ends the session if another node should serve it or this node is stopping. */
 static void end_if_moved(struct px_session *s, int64_t now)
 {
     if (s->end_sent_at)
--- a/proxy/statement.c
+++ b/proxy/statement.c
@@ -1,8 +1,8 @@
-/* What a caller's statement does to its session: what the proxy answers by itself, and what
- * goes on to an instance (work.c). */
+/* Effect of a caller's statement on its session: the proxy answers some statements itself and
+ * passes the others to an instance (work.c). */
 #include "proxy/priv.h"
 
-/* Refused before it was at work. */
+/* Refuses a statement that was not started. */
 static void refuse(struct px_session *s, enum er_kind kind, const char *detail)
 {
     s->arrived = ck_now();
@@ -14,7 +14,8 @@
     refuse(s, ER_BAD_INPUT, why);
 }
 
-/* What is in force for the database now; a transaction keeps what was when it began. */
+/* Takes the route that is in force for the database now; a transaction keeps the route that it
+ * began with. */
 static bool take_route(struct px_session *s)
 {
     const struct cg_route *r = cg_route(&s->p->catalog, sr_from(s->database));
@@ -25,7 +26,7 @@
         return false;
     }
     if (!px_identify(s, r)) {
-        refuse(s, ER_NO_ACCOUNT, "the key belongs to no account any more");
+        refuse(s, ER_NO_ACCOUNT, "the key belongs to no account anymore");
         return false;
     }
     s->route = *r;
@@ -35,7 +36,7 @@
 static void begin_txn(struct px_session *s)
 {
     if (s->txn != PX_IDLE) {
-        refuse_malformed(s, "a transaction is open");
+        refuse_malformed(s, "a transaction is already open");
         return;
     }
     if (!take_route(s))
@@ -50,7 +51,7 @@
     s->txn = PX_IN_TXN;
     s->txn_read_only = s->stmt.read_only;
     s->txn_begun = s->txn_wrote = s->txn_rolled_back = false;
-    px_answer_local(s); /* it begins at an instance with its first statement */
+    px_answer_local(s); /* BEGIN is sent to an instance with the first statement */
 }
 
 static void rollback_txn(struct px_session *s)
@@ -73,13 +74,13 @@
     s->writes = false;
     if (s->txn_rolled_back) {
         s->txn = PX_IDLE;
-        refuse(s, ER_ABORTED, "the transaction was rolled back before");
+        refuse(s, ER_ABORTED, "the transaction was already rolled back");
         return;
     }
     px_begin_work(s);
 }
 
-/* In a failed transaction only its end is taken. */
+/* Refuses a statement in a failed transaction, which accepts only its end. */
 static bool refuse_if_failed(struct px_session *s)
 {
     if (s->txn != PX_TXN_FAILED)
@@ -87,11 +88,11 @@
     if (s->txn_rolled_back)
         refuse(s, ER_ABORTED, "the transaction was rolled back");
     else
-        refuse_malformed(s, "the transaction has failed; it can only be ended");
+        refuse_malformed(s, "the transaction has failed; only COMMIT and ROLLBACK are allowed");
     return true;
 }
 
-/* Whether a prepared statement writes was said when it was prepared. */
+/* Takes from PREPARE whether the statement writes. */
 static bool find_prepared(struct px_session *s)
 {
     const struct px_prepared *p = px_find_prepared(&s->state, s->stmt.name);
@@ -129,7 +130,8 @@
     return px_deallocate(to, st->name, err);
 }
 
-/* Values and prepared names are the session's own: connections get them when they need them. */
+/* Values and prepared statements belong to the session; connections get them when a statement
+ * needs them. */
 static void change_state(struct px_session *s)
 {
     struct er_err err = {0};
@@ -141,7 +143,8 @@
         refuse(s, err.kind, err.text);
 }
 
-/* The line is kept: the text goes to an instance as it came, perhaps twice. */
+/* Keeps a copy of the request: its text is sent to an instance unchanged, perhaps more than
+ * once. */
 static void keep_request(struct px_session *s, const struct px_msg *m)
 {
     s->request.len = 0;
@@ -178,6 +181,6 @@
         change_state(s);
         break;
     default:
-        refuse_malformed(s, "not a statement of this interface");
+        refuse_malformed(s, "unknown statement");
     }
 }
--- a/proxy/work.c
+++ b/proxy/work.c
@@ -1,27 +1,25 @@
-/* One statement on its way: where it goes, and when it is tried again. What comes of it is at
- * outcome.c. */
+/* Routes a statement to an instance and retries it. outcome.c handles its outcome. */
 #include "proxy/priv.h"
 
 enum {
-    /* Waiting for a connection is given up after this share of what the operation should take:
-     * a refusal then still leaves its caller time to try another node. */
+    /* A statement that waits for a connection is refused after this share of the operation's
+     * latency target, so that its caller still has time to try another node. */
     WAIT_PERCENT = 70,
     MIN_WAIT_US = 30000,
-    MOVE_READ_AFTER_US =
-        20000, /* waiting at an instance for longer, a read may move to another */
-    /* A read without an answer is asked of another instance after this share of its aim, but
-     * not before a few times what a statement takes there. */
+    MOVE_READ_AFTER_US = 20000, /* a read that waits longer may move to another instance */
+    /* A read without an answer is also sent to another instance (hedged) after this share of
+     * its latency target, but not before a multiple of the instance's service time. */
     HEDGE_PERCENT = 45,
     HEDGE_SERVICE_TIMES = 4,
 };
 
-/* Whether running it twice, or having run it in vain, harms nobody. */
+/* Whether the statement may be run twice, or run without its answer being used. */
 static bool repeatable(const struct px_session *s)
 {
     return !s->writes && !px_in_txn(s);
 }
 
-/* ---- beginning and ending ---- */
+/* ---- start and end ---- */
 
 void px_stage_done(struct px_session *s, enum px_latency_stage stage)
 {
@@ -86,14 +84,16 @@
                                      int64_t now)
 {
     const struct px_group *g = in->group;
-    /* Room for one more is no connection where it has to be opened for the account first. */
+    /* With accounts, room for one more connection does not count as a free one: it would first
+     * have to be opened for the account. */
     bool accounts = px_has_accounts(in->p);
     bool idle = accounts ? px_inst_ready(in, s) : in->n_conns > in->busy;
     return (struct px_candidate){
         .usable = px_inst_usable(in, now) && !(s->skip_mask & (1u << in->at)),
         .primary = in->at == g->cfg.primary,
         .free_conn = idle || (!accounts && px_inst_has_room(in, now)),
-        /* A transaction that rests between two statements holds a connection, but no slot. */
+        /* A transaction that is idle between two statements holds a connection but no execution
+         * slot. */
         .waiting = px_inst_running(in) + in->n_waiters,
         .service_us = px_pace_expect(&g->pace, s->pace_kind, in->pace),
         .fail_rate = px_outlier_rate(&in->outlier, now),
@@ -103,7 +103,7 @@
     };
 }
 
-/* A read that may be old: any instance whose log holds the floor. */
+/* Chooses an instance for a read that accepts old data: any whose log holds the floor. */
 static struct px_inst *choose_for_read(struct px_session *s, struct px_group *g, int64_t now)
 {
     struct px_candidate c[VW_MAX_INSTANCES];
@@ -127,8 +127,8 @@
     s->has_floor = false;
     if (!px_needs_primary(s)) {
         struct px_inst *in = choose_for_read(s, g, now);
-        /* The primary of a term in force misses nothing: a position that was lost with the term
-         * before must not keep the session from reading. */
+        /* The primary of a term in force has everything, so no floor applies there: a position
+         * that was lost with the previous term must not keep the session from reading. */
         if (in && in == px_primary(g, now))
             s->has_floor = false;
         return in;
@@ -151,14 +151,14 @@
         px_park(s, now + PX_PARK_US);
         return;
     }
-    if (s->conn) { /* its transaction is there */
+    if (s->conn) { /* pinned by its transaction */
         px_conn_run(s->conn, s);
         return;
     }
     struct px_group *g = px_group_of(s);
     struct px_inst *in = g ? choose_instance(s, g, now) : NULL;
     if (!in) {
-        s->skip_mask = 0; /* nobody is left: all may be asked again */
+        s->skip_mask = 0; /* no instance is left: allow all of them again */
         px_park(s, now + PX_PARK_US);
         return;
     }
@@ -183,7 +183,7 @@
     return s->attempts + 1 >= s->route.attempts;
 }
 
-/* ---- time ---- */
+/* ---- time limits ---- */
 
 static int64_t hedge_delay_us(const struct px_session *s)
 {
@@ -192,8 +192,8 @@
     return by_target > by_service_time ? by_target : by_service_time;
 }
 
-/* A read that got no answer for long is asked of another instance; its first answer is not
- * waited for. */
+/* Sends a read that got no answer for long to another instance. The answer of the first one is
+ * discarded. */
 static void hedge(struct px_session *s)
 {
     struct px_conn *c = s->conn;
@@ -213,7 +213,8 @@
     return us > MIN_WAIT_US ? us : MIN_WAIT_US;
 }
 
-/* Where it waits no connection comes free; another instance may have one. */
+/* Refuses a statement that waited too long for a connection, or moves a read to another
+ * instance that may have a free one. */
 static void wait_tick(struct px_session *s, int64_t now)
 {
     if (px_received_until(s->p) - s->arrived > max_wait_us(s)) {
@@ -231,7 +232,8 @@
     px_route_work(s);
 }
 
-/* What was sent may have been answered; what was not has no time left to be sent in. */
+/* A sent statement may have an answer that is not read yet, so its deadline is checked against
+ * the input read so far; one that was not sent has no time left to be sent. */
 static bool expired(const struct px_session *s, int64_t now)
 {
     bool sent = s->stage == PX_S_AT_INSTANCE && s->conn && s->conn->phase == PX_C_RUNNING;
@@ -243,10 +245,11 @@
     if (expired(s, now))
         px_expire(s);
     else if (s->stage == PX_S_PARKED && px_disconnected(s->p))
-        px_refuse(s, ER_NO_LEASE, "this node is cut off; another may serve it, at once");
+        px_refuse(s, ER_NO_LEASE,
+                  "this node is disconnected from control; retry at another node at once");
     else if (s->permit == PX_PERMIT_NEEDED &&
              px_received_until(s->p) - s->arrived > max_wait_us(s))
-        px_refuse(s, ER_LIMIT, "no permit for the account has come; retry in 200 ms");
+        px_refuse(s, ER_LIMIT, "no permit for the account was received; retry in 200 ms");
     else if (s->stage == PX_S_PARKED && now >= s->retry_at)
         px_route_work(s);
     else if (s->stage == PX_S_WAITING)
