--- a/proxy/pending.c
+++ b/proxy/pending.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* A write for itself is kept; one in a transaction is with its COMMIT. */
+/* Records a write: outside a transaction it is kept; inside one, the COMMIT decides. */
 static void add_write(struct px_pending *q, enum px_txn txn)
 {
     q->txn_wrote = true;
@@ -26,7 +26,7 @@
     case PX_V_PREPARE:
     case PX_V_DEALLOCATE:
         break;
-    default: /* what EXECUTE does the other node knows */
+    default: /* EXECUTE counts as a write, as only the serving node knows what it does */
         add_write(q, txn);
         break;
     }
@@ -39,7 +39,7 @@
     size_t n = q->len > 0 && q->head[q->len - 1] == '\r' ? q->len - 1 : q->len;
     codec->parse((struct sr_str){q->head, n}, &m);
     if (m.kind == PX_END)
-        return; /* wants no answer */
+        return; /* has no answer */
     q->pipelined = q->pipelined || q->open > 0;
     q->open++;
     if (m.kind == PX_STATEMENT)
--- a/proxy/relay.c
+++ b/proxy/relay.c
@@ -1,9 +1,10 @@
-/* Sessions that another entry node serves: their bytes go there and back as they are.
+/* Sessions that another entry node serves: their bytes are passed in both directions unchanged.
  *
- * Where an instance has fewer connections than there are entry nodes, a few nodes hold each
- * group (route/holders); a node that is cut off from control has neighbours that are not. A
- * relayed session lives at the other node with its values, prepared names and transactions;
- * here only its bytes pass. It ends when either end does, so nothing has to be moved. */
+ * Where an instance has fewer connections than there are entry nodes, only some nodes hold each
+ * group (route/holders); and a node that is disconnected from control has neighbors that are
+ * not. A relayed session lives at the serving node with its values, prepared statements and
+ * transactions; this node only passes its bytes. It ends when either connection ends, so no
+ * state has to be moved. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -11,48 +12,47 @@
 #include "proxy/priv.h"
 
 enum {
-    /* A holder that does not greet by then is passed over: a caller waits 2 s for its greeting.
-     */
+    /* A holder that does not greet in this time is skipped: a caller waits 2 s for its
+     * greeting. */
     GREETING_TIMEOUT_US = 500000,
-    /* Holders are asked one after the other for so long: most refuse at once, as they are down
-     * or cut off, and their caller has half a second left for the greeting then. */
+    /* Holders are tried one after the other for this long. Most refuse at once, because they
+     * are down or disconnected; the caller then still has half a second for the greeting. */
     FIND_NODE_TIMEOUT_US = 1500000,
-    /* A node that is cut off from control and did not reach another node either asks none for
-     * so long: its callers are told at once. */
+    /* A node that is disconnected from control and reached no other node tries none for this
+     * long: its callers are refused at once. */
     ISOLATED_US = 1000000,
-    MAX_QUEUED_BYTES = 256 * 1024, /* bytes on their way to a side that does not read */
-    REFUSED_PAUSE_US = 300000,     /* who said no to a session is asked last for so long */
-    NO_HOLDER_PAUSE_US =
-        1000000,               /* the same of one that was to pass it on and reached nobody */
-    STAGGER_CLOSE_US = 300000, /* sessions at rest at a silent node end, spread over so long */
-    PARTIAL_LINE_TIMEOUT_US =
-        1000000, /* the rest of a question that is partly here is waited for */
+    MAX_QUEUED_BYTES = 256 * 1024, /* bytes queued for a side that does not read them */
+    REFUSED_PAUSE_US = 300000, /* a node that refused a session is tried last for this long */
+    NO_HOLDER_PAUSE_US = 1000000, /* the same for a node that reached no holder to pass it on */
+    STAGGER_CLOSE_US = 300000, /* period over which idle sessions at a silent node are closed */
+    PARTIAL_LINE_TIMEOUT_US = 1000000, /* time to receive the rest of a partial request */
 };
 
-/* Who opens a relayed session, before the version of its document. It is not relayed once more,
- * but where `pass_on` follows. The caller's key follows as the last field. */
+/* The identity in the PX_OPEN of a relayed session: this word, `pass_on_mark` if the receiving
+ * node may relay the session once more, "." and the version of the document in force. The
+ * caller's key is in the last field of the message. */
 static const char relay_identity[] = "~ferry";
 static const char pass_on_mark = '+';
 
 struct px_relay {
     struct px_session *s;
-    struct nt_conn *net; /* to the other node; NULL: none */
+    struct nt_conn *net; /* to the serving node; NULL: none */
     struct px_tried_nodes tried;
-    struct px_neighbor *nb;  /* the last of these */
-    bool via_non_holder;     /* it is no holder, and passes the session on */
-    bool greeting_timed_out; /* it did not greet in time */
-    bool greeted;            /* by the other node */
-    bool caller_got_bytes;   /* the caller got something: another greeting would be too many */
-    bool ending;             /* the caller is being sent away, for this reason */
+    struct px_neighbor *nb;  /* the last of `tried` */
+    bool via_non_holder;     /* `nb` is no holder and passes the session on */
+    bool greeting_timed_out; /* `nb` did not greet in time */
+    bool greeted;            /* `nb` greeted */
+    bool caller_got_bytes;   /* the caller got bytes from `nb`, so no other node may greet */
+    bool ending;             /* the caller's connection is to be closed, for `end_reason` */
     enum px_end_reason end_reason;
     int64_t ending_since;
-    bool idle;                 /* there, after the last answer */
-    bool has_pending;          /* a whole message went there since */
-    int64_t pending_since;     /* the first of them */
-    struct px_pending pending; /* what was asked */
-    enum px_txn txn;           /* after the last answer */
-    struct sr_buf in;          /* a line from the other node that is not whole yet */
-    int64_t step_began;        /* this try, and what it waits for: to be open, to be greeted */
+    bool idle;                 /* no statement and no transaction there since the last answer */
+    bool has_pending;          /* a complete request was sent since the last answer */
+    int64_t pending_since;     /* when the first of them was sent */
+    struct px_pending pending; /* the requests without an answer */
+    enum px_txn txn;           /* state after the last answer */
+    struct sr_buf in;          /* bytes of an incomplete line from the serving node */
+    int64_t step_began;        /* start of the connect, then of the wait for the greeting */
 };
 
 bool px_parse_relayed(const struct px_msg *open, uint64_t *document, bool *pass_on)
@@ -87,12 +87,13 @@
     return s->relay && s->relay->greeted && s->relay->idle;
 }
 
-/* ---- where ---- */
+/* ---- when to relay ---- */
 
-/* A node that is cut off from control can prove nothing by itself, but others may have a lease:
- * where most nodes of a failure domain are cut off the balancer goes on using them. If it
- * reaches none, its callers are told with the greeting: a session that was opened here would
- * bring each of its tries here again, and has to be closed when the lease is back. */
+/* A node that is disconnected from control can't prove by itself that its view is current, but
+ * other nodes may have a lease: where most nodes of a failure domain are disconnected, the load
+ * balancer goes on using them. If this node reaches no other, callers are refused with the
+ * greeting: in a session opened here each retry would fail again, and it would have to be
+ * closed when the lease is back. */
 bool px_should_relay(const struct px_session *s)
 {
     struct px_group *g = px_database_group(s);
@@ -105,7 +106,7 @@
     return !g->held || (!g->first && !px_reaches(g));
 }
 
-/* ---- the other node ---- */
+/* ---- the connection to the serving node ---- */
 
 static void connect_next(struct px_relay *r);
 
@@ -161,7 +162,7 @@
     nt_send(r->net, data, len);
 }
 
-/* Close the session, but not in the middle of a question. */
+/* Closes the session, but waits for the rest of a partial request. */
 static void finish_ending(struct px_relay *r, int64_t now)
 {
     if (r->pending.len == 0 || r->s->relayed_to_us ||
@@ -169,7 +170,8 @@
         px_end_idle(r->s, r->end_reason);
 }
 
-/* The caller is sent away; what it says before it learns of it is refused. */
+/* Starts to close the session; requests that arrive before the caller sees the close are
+ * refused. */
 static void begin_ending(struct px_relay *r, enum px_end_reason why)
 {
     r->ending = true;
@@ -178,7 +180,7 @@
     finish_ending(r, r->ending_since);
 }
 
-/* What is open is answered here with a failure. */
+/* Answers the pending requests with a failure. */
 static void fail_pending(struct px_relay *r, enum er_kind kind, const char *detail)
 {
     struct px_session *s = r->s;
@@ -189,15 +191,16 @@
     r->has_pending = false;
 }
 
-/* What the caller asked went nowhere, or to a node that had ended the session. */
+/* Answers requests that did not run: they were not sent, or the serving node had ended the
+ * session. */
 static void fail_not_run(struct px_relay *r)
 {
     fail_pending(r, r->txn == PX_IDLE ? ER_STOPPING : ER_ABORTED,
-                 "the node that serves the session stops; retry at once");
+                 "the node that serves the session is stopping; retry at once");
 }
 
-/* What is open there has no answer, and will have none that the caller gets: say what is true
- * of it, and send the caller away. `sent`: it went out. */
+/* Answers pending requests whose answer can't reach the caller any more with what is known of
+ * them, and closes the session. `sent`: they were sent to the serving node. */
 static void fail_unanswered(struct px_relay *r, bool sent, enum px_end_reason why)
 {
     struct px_session *s = r->s;
@@ -210,13 +213,13 @@
                  : in_txn      ? ER_ABORTED
                                : ER_OVERLOAD,
                  nothing_kept
-                     ? "the node that serves the session is silent; nothing is kept, "
+                     ? "the node that serves the session does not answer; nothing is kept, "
                        "retry at once"
-                     : "the node that serves the session is silent since it was asked");
+                     : "the node that serves the session does not answer; outcome unknown");
     begin_ending(r, why);
 }
 
-/* What the caller said before it was greeted. */
+/* Sends what the caller sent before the greeting. */
 static void send_buffered(struct px_relay *r)
 {
     struct px_session *s = r->s;
@@ -226,14 +229,14 @@
     s->in.len = 0;
 }
 
-/* The other node ends the session while it rests there, so what was asked meanwhile ran
- * nowhere, and the caller is told so. */
+/* The serving node ended the session while it was idle there. Requests sent since did not run,
+ * and the caller is told so. */
 static void on_end(struct px_relay *r)
 {
     if (!r->s->net)
         return;
     if (!r->caller_got_bytes) {
-        nt_close(r->net, true); /* it opened no session: another may */
+        nt_close(r->net, true); /* it did not open the session; on_close tries another node */
         return;
     }
     if (r->has_pending)
@@ -241,7 +244,7 @@
     begin_ending(r, PX_END_HOLDER_CLOSED);
 }
 
-/* Pass the first `n` bytes of what came on; they are whole lines. */
+/* Passes the first `n` received bytes, which are complete lines, to the caller. */
 static void pass_to_caller(struct px_relay *r, size_t n)
 {
     r->caller_got_bytes = true;
@@ -250,7 +253,7 @@
     px_consume(&r->in, n);
 }
 
-/* Note what the last of these whole lines says of the session; false: it is an end. */
+/* Takes the session's state from the last complete line. Returns false for PX_END. */
 static bool note_last_line(struct px_relay *r, struct sr_str last)
 {
     struct px_msg m;
@@ -268,7 +271,7 @@
     return true;
 }
 
-/* The other node greeted: what the caller said meanwhile goes there. */
+/* Handles the greeting: what the caller sent in the meantime goes to the serving node. */
 static void on_greeting(struct px_relay *r)
 {
     struct px_proxy *p = r->s->p;
@@ -287,7 +290,7 @@
     struct sr_str last;
     nb_heard(&r->nb->b, ck_now());
     if (r->ending)
-        return; /* what it answers now the caller was told of already */
+        return; /* the caller already got an answer for these requests */
     sr_buf_add(&r->in, data, len);
     size_t n = px_complete_lines(&r->in, &last);
     if (n == 0) {
@@ -296,7 +299,7 @@
         return;
     }
     bool ended = !note_last_line(r, last);
-    if (ended) { /* for us, not for the caller */
+    if (ended) { /* PX_END is for this node, not for the caller */
         struct sr_buf before = {.p = r->in.p, .len = (size_t)(last.p - r->in.p)};
         n = px_complete_lines(&before, &last);
         if (n > 0)
@@ -311,8 +314,8 @@
         on_end(r);
 }
 
-/* It opened no session: what that says of it. Of one that is no holder, that it knows no way.
- */
+/* Records that the node did not open the session; for a node that is no holder, that it reaches
+ * none. */
 static void note_no_greeting(struct px_relay *r, bool opened)
 {
     int64_t now = ck_now();
@@ -324,7 +327,7 @@
         nb_refused(&r->nb->b, REFUSED_PAUSE_US, now);
 }
 
-/* The connection is gone, and the session there with it. */
+/* The connection was lost, and with it the session at the serving node. */
 static void on_lost(struct px_relay *r)
 {
     nb_doubt(&r->nb->b, ck_now());
@@ -355,7 +358,7 @@
 
 static const struct nt_ops ops = {on_open, on_message, on_close};
 
-/* Nobody opens the session. */
+/* No node opens the session. */
 static void give_up(struct px_relay *r)
 {
     struct px_session *s = r->s;
@@ -366,8 +369,9 @@
     else if (px_disconnected(s->p))
         px_fail_disconnected(s);
     else
-        px_fail_and_close(s, ER_NO_LEASE,
-                          "no node that serves it answers; another may, at once");
+        px_fail_and_close(
+            s, ER_NO_LEASE,
+            "no node that serves the database answers; retry at another node at once");
 }
 
 static bool may_try(const struct px_relay *r, int64_t now)
@@ -402,7 +406,7 @@
     px_meter(p, r->net, PX_TO_NODE, node->domain);
 }
 
-/* ---- the session's side ---- */
+/* ---- the caller's connection ---- */
 
 void px_relay_start(struct px_session *s)
 {
@@ -412,7 +416,7 @@
     connect_next(r);
 }
 
-/* It would go to a silent node: nothing of it ran. */
+/* Answers a request that is not sent because the serving node is silent. */
 static void refuse_unsent(struct px_relay *r, const char *data, size_t len)
 {
     r->idle = false;
@@ -422,14 +426,14 @@
         fail_unanswered(r, false, PX_END_HOLDER_SILENT);
 }
 
-/* The session there is over. */
+/* Answers a request that arrived after the session ended at the serving node. */
 static void refuse_late_input(struct px_relay *r, const char *data, size_t len)
 {
     struct px_session *s = r->s;
     s->arrived = ck_now();
     px_pending_add(&r->pending, s->p->cfg.codec, r->txn, data, len);
     if (r->pending.open == 0)
-        return; /* not whole yet */
+        return; /* incomplete request */
     fail_not_run(r);
     finish_ending(r, ck_now());
 }
@@ -464,26 +468,28 @@
     s->relay = NULL;
     r->s = NULL;
     if (r->net)
-        nt_close(r->net, true); /* on_close frees it */
+        nt_close(r->net, true); /* on_close frees `r` */
     else
         relay_free(r);
 }
 
-/* The other node refuses it as soon as it has the same document, but may be cut off from it. */
+/* Whether the session's key was removed. The serving node refuses it too as soon as it has the
+ * same document, but may be disconnected from control. */
 static bool key_removed(struct px_session *s)
 {
     const struct cg_route *r = cg_route(&s->p->catalog, sr_from(s->database));
     return r && !px_identify(s, r);
 }
 
-/* What may be kept can't be told before its time is over: an answer may come still. */
+/* The time limit of the session's statements. Until it has passed, the outcome of a request
+ * that may have changed data is not reported as unknown, as its answer may still arrive. */
 static int64_t time_limit_us(const struct px_session *s)
 {
     const struct cg_route *route = cg_route(&s->p->catalog, sr_from(s->database));
     return route ? route->limit_us : 0;
 }
 
-/* The session is at a node that is silent. */
+/* Ends a session whose serving node is silent. */
 static void handle_silent_node(struct px_relay *r, int64_t now)
 {
     struct px_session *s = r->s;
--- a/proxy/targets.c
+++ b/proxy/targets.c
@@ -1,6 +1,6 @@
-/* Which other node a session is relayed to: a holder of its group in the order that its account
- * or failure domain asks for, but those that are silent; or, where none is left, a node that
- * may reach one (it passes the session on, once). */
+/* Chooses the node that a session is relayed to: a holder of its group, in the order that its
+ * account or failure domain gives, skipping silent ones; or, if none is left, a node that may
+ * reach a holder and passes the session on, once. */
 #include <string.h>
 
 #include "proxy/priv.h"
@@ -21,16 +21,18 @@
 
 /* ---- holders ---- */
 
-/* How far it is: own failure domain, own region, another. After the first try the own domain
- * is as good as any other of its region: it may be in trouble. */
+/* Distance class of a node: own failure domain, own region, another region. After the first
+ * attempt the own domain counts like the rest of its region, as the domain itself may be
+ * failing. */
 static int distance_class(const struct px_proxy *p, int i, bool near_first)
 {
     int far = rt_distance(p->cfg.domain, p->nodes[i].domain);
     return far == 0 && !near_first ? 1 : far;
 }
 
-/* The near ones first: a shorter trip, and no bytes between failure domains or regions. Among
- * those alike from a place of the session's own on, so that sessions spread over them. */
+/* Orders holders by distance: a shorter round trip, and no bytes between failure domains or
+ * regions. Holders at the same distance start at an offset given by the session's number, so
+ * that sessions spread over them. */
 static int order_by_distance(const struct px_session *s, const struct px_group *g,
                              bool near_first, int *out)
 {
@@ -47,9 +49,9 @@
     return k;
 }
 
-/* Where connections belong to accounts, an account's sessions meet where its connections are,
- * near or not: of 78 accounts on three connections each node would open one for nearly each
- * statement otherwise. */
+/* With accounts, the sessions of an account go where its connections are, whatever the
+ * distance. Otherwise, with 78 accounts on three connections, each node would open a connection
+ * for nearly every statement. */
 static int holder_order(const struct px_session *s, struct px_group *g, bool near_first,
                         int *out)
 {
@@ -58,7 +60,7 @@
     return order_by_distance(s, g, near_first, out);
 }
 
-/* The first of the best rank; -1: none is left. */
+/* The first holder of the best rank; -1: none is left. */
 static int pick_holder(const struct px_session *s, struct px_group *g,
                        const struct px_tried_nodes *t, int64_t now)
 {
@@ -81,9 +83,10 @@
 /* ---- nodes that pass on ---- */
 
 enum {
-    TRY_UNKNOWN_EVERY = 4, /* of the sessions, one goes to a node that is not known to */
-    /* While nobody is known to, one session in so long looks for a way; the others are told at
-     * once, so that their callers have time to try another node. */
+    /* One session in this many tries a node that is not known to pass sessions on. */
+    TRY_UNKNOWN_EVERY = 4,
+    /* While no node is known to pass sessions on, one session per interval looks for one. The
+     * others are refused at once, so that their callers have time to try another node. */
     SEEK_INTERVAL_US = 200000,
 };
 
@@ -96,7 +99,8 @@
     return false;
 }
 
-/* Each node and session draws its own order, so that those that pass on share the load. */
+/* A pseudo-random weight for each node and session, so that the nodes that pass sessions on
+ * share the load. */
 static uint64_t draw_weight(const struct px_session *s, uint64_t node_hash)
 {
     uint64_t own = s->state.session * 0x9E3779B97F4A7C15ull ^ s->p->cfg.seed;
@@ -128,7 +132,8 @@
     return best;
 }
 
-/* Whether this session may look for a node that passes it on: it is at it, or it is time. */
+/* Whether this session may look for a node that passes it on: it already does, a node is known,
+ * or the interval has passed. */
 static bool may_seek(struct px_proxy *p, bool seeks, int64_t now)
 {
     if (seeks || px_any_passes_on(p, now))
@@ -139,8 +144,6 @@
     return true;
 }
 
-/* ---- */
-
 struct px_group *px_database_group(const struct px_session *s)
 {
     const struct cg_route *r = cg_route(&s->p->catalog, sr_from(s->database));
