--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -1,5 +1,7 @@
-/* The proxy's state, shared by its parts. Nobody else includes this; proxy/proxy.h is the
- * contract. */
+/* The state of the proxy, shared by the files of proxy/ and included by them only. Other
+ * folders use proxy/proxy.h.
+ *
+ * All functions run on the loop's thread. Times are microseconds of ck_now(). */
 #ifndef FL_PROXY_PRIV_H
 #define FL_PROXY_PRIV_H
 
@@ -141,104 +143,104 @@
 
 /* What a session's statement waits for. */
 enum px_stage {
-    PX_S_IDLE,        /* there is none */
-    PX_S_STARTED,     /* its first look, which may refuse it */
-    PX_S_PARKED,      /* a primary, a lease, a position, or the next try */
+    PX_S_IDLE,        /* the session has no statement */
+    PX_S_STARTED,     /* being routed for the first time, which may refuse it */
+    PX_S_PARKED,      /* a permit, a primary, a lease, a position or the next attempt */
     PX_S_WAITING,     /* a connection to `inst` */
-    PX_S_AT_INSTANCE, /* its answer, on `conn` */
+    PX_S_AT_INSTANCE, /* the answer on `conn` */
 };
 
-/* An operation and its account's limit. */
+/* Whether an operation holds a permit under the limit of its client account. */
 enum px_permit {
     PX_PERMIT_NONE,   /* no operation, or one that needs no permit */
-    PX_PERMIT_NEEDED, /* it begins when there is a permit */
+    PX_PERMIT_NEEDED, /* the operation starts when a permit is available */
     PX_PERMIT_TAKEN,
 };
 
-/* A client account at this node. */
+/* A client account that had operations at this node. */
 struct px_account {
     char name[AC_NAME];
     struct lm_stock permits;
-    uint64_t begun, refused; /* operations; refused for the limit */
+    uint64_t begun, refused; /* operations started; operations refused because of the limit */
 };
 
 /* Why this node closed a caller's connection. */
 enum px_end_reason {
-    PX_END_BY_CALLER,     /* it said so */
-    PX_END_REFUSED,       /* by an error that ends the session */
-    PX_END_MOVED,         /* it rested, and another node is the place for it now */
-    PX_END_NOT_ACCEPTED,  /* relayed to us: another holder is to be asked */
-    PX_END_HOLDER_CLOSED, /* the node that served it ends it */
-    PX_END_HOLDER_LOST,   /* the connection to the node that served it is gone */
-    PX_END_HOLDER_SILENT, /* the node that served it is silent: another is the place for it */
-    PX_END_NO_HOLDER,     /* no node opened it */
-    PX_END_QUEUE_FULL,    /* the node that serves it takes no more */
-    PX_END_TIMEOUT,       /* told to leave, it did not in time */
+    PX_END_BY_CALLER,     /* the caller sent PX_END */
+    PX_END_REFUSED,       /* an error ended the session */
+    PX_END_MOVED,         /* the session was idle, and another node should serve it now */
+    PX_END_NOT_ACCEPTED,  /* relayed to this node, which can't serve it: another holder may */
+    PX_END_HOLDER_CLOSED, /* the serving node ended it */
+    PX_END_HOLDER_LOST,   /* the connection to the serving node was lost */
+    PX_END_HOLDER_SILENT, /* the serving node does not answer: another should serve it */
+    PX_END_NO_HOLDER,     /* no other node opened it */
+    PX_END_QUEUE_FULL,    /* the serving node does not read what is queued for it */
+    PX_END_TIMEOUT,       /* the relaying node did not close it in time after PX_END */
     PX_END_REASONS
 };
 
-/* A caller's connection and what belongs to it. */
+/* A caller's connection and its session. */
 struct px_session {
-    struct px_session *prev, *next; /* the proxy's */
+    struct px_session *prev, *next; /* list of the proxy's sessions */
     struct px_proxy *p;
 
     /* the connection */
-    struct nt_conn *net; /* NULL: the caller has gone */
-    bool ended;          /* it was closed here, for this reason */
+    struct nt_conn *net; /* NULL: closed */
+    bool ended;          /* this node closed it, for `end_reason` */
     enum px_end_reason end_reason;
-    struct sr_buf in;       /* what has come and is not taken yet */
-    bool handling_input;    /* its input is being worked through */
-    bool reading_paused;    /* more than a message of input: not read on */
-    bool opened;            /* greeted by us */
-    bool relayed_to_us;     /* another node relays it to us */
-    bool may_pass_on;       /* and reaches no holder itself: we may relay it once more */
-    struct px_relay *relay; /* another node serves it; NULL: we do */
+    struct sr_buf in;       /* bytes received but not yet parsed */
+    bool handling_input;    /* guards px_session_resume against recursion */
+    bool reading_paused;    /* `in` holds more than one message of maximum size */
+    bool opened;            /* this node sent the greeting */
+    bool relayed_to_us;     /* another node relays the session to this one */
+    bool may_pass_on;       /* the relaying node reaches no holder; one more relay is allowed */
+    struct px_relay *relay; /* another node serves the session; NULL: this node does */
     int64_t opened_at;
-    int64_t end_sent_at; /* it was ended here, and who relays it is told; 0: not so */
-    int64_t idle_since;  /* it connected, or its last statement ended */
+    int64_t end_sent_at; /* when PX_END was sent to the relaying node; 0: not sent */
+    int64_t idle_since;  /* when it connected, or its last statement ended */
 
-    /* what it keeps from statement to statement */
+    /* state kept between statements */
     char database[CG_NAME];
-    char key[AC_KEY];          /* that its caller showed; in no log */
-    char account[AC_NAME];     /* of its operation; what instances are told */
-    uint64_t min_document;     /* who relays it acts on this version: no older one may answer */
-    struct px_state state;     /* values and prepared names */
-    struct ps_pos last_commit; /* its last commit, in group `seen_in` */
+    char key[AC_KEY];          /* the caller's key; never logged */
+    char account[AC_NAME];     /* account of the operation, as instances get it */
+    uint64_t min_document;     /* version that the relaying node acts on; no older may answer */
+    struct px_state state;     /* values and prepared statements */
+    struct ps_pos last_commit; /* position of the last commit, in `last_commit_group` */
     char last_commit_group[VW_NAME];
 
-    enum px_permit permit; /* of its operation */
+    enum px_permit permit; /* of the current operation */
 
-    /* its transaction */
+    /* the transaction */
     enum px_txn txn;
     bool txn_read_only;
-    bool txn_begun; /* at the instance, too */
+    bool txn_begun; /* BEGIN was sent to the instance */
     bool txn_wrote;
-    bool txn_rolled_back;  /* it failed because its connection went: nothing of it is left */
-    struct cg_route route; /* of the transaction, or of the statement */
-    struct px_conn *conn;  /* at work for it, or pinned by its transaction */
+    bool txn_rolled_back; /* failed and already rolled back: the instance keeps nothing of it */
+    struct cg_route route; /* of the transaction, or of the statement outside one */
+    struct px_conn *conn;  /* runs the statement, or is pinned by the transaction */
 
-    /* its statement */
+    /* the statement */
     enum px_stage stage;
-    struct px_session *prev_active, *next_active; /* the proxy's, with a statement */
-    struct sr_buf request;                        /* holds the id and the text */
+    struct px_session *prev_active, *next_active; /* list of sessions with a statement */
+    struct sr_buf request;                        /* storage of `id` and `text` */
     struct sr_str id, text;
-    struct px_stmt stmt; /* the text, taken apart */
+    struct px_stmt stmt; /* `text`, parsed */
     bool writes;
-    unsigned pace_kind; /* px_pace_kind */
+    unsigned pace_kind; /* see px_pace_kind */
     int64_t arrived, deadline;
     bool has_floor;
-    struct ps_pos floor; /* what a read must see */
+    struct ps_pos floor; /* minimum position that a read must see */
 
-    /* where the statement is, and was */
-    struct px_inst *inst;         /* waits for a connection there, or is there */
-    struct px_session *wait_next; /* of those that wait there */
+    /* routing of the statement */
+    struct px_inst *inst;         /* instance that it waits for or runs at */
+    struct px_session *wait_next; /* next in the wait queue of `inst` */
     int64_t waiting_since;
-    int64_t retry_at; /* PX_S_PARKED: looked at again then */
+    int64_t retry_at; /* PX_S_PARKED: when it is routed again */
     int64_t sent_at;
-    int64_t stage_since; /* its present px_latency_stage began */
-    int attempts;        /* those that count against the route's */
-    int offers;          /* how often it was sent */
-    unsigned skip_mask;  /* bits of instances that could not serve it */
+    int64_t stage_since; /* start of the current px_latency_stage */
+    int attempts;        /* attempts that count against the route's limit */
+    int offers;          /* times that it was sent to an instance */
+    unsigned skip_mask;  /* bit i: instance i of the group could not serve it */
 };
 
 /* Whom bytes are exchanged with, beside callers. */
@@ -259,29 +261,26 @@
     char key[AC_KEY];
 };
 
-/* For /metrics. */
+/* Counters for /metrics. */
 struct px_counters {
     uint64_t sessions, statements;
     uint64_t ok, failed, by_reason[ER_COUNT];
     uint64_t reads_primary, reads_replica;
-    uint64_t behind;  /* an instance lacked a read's position */
-    uint64_t retries; /* another try of a statement */
+    uint64_t behind;  /* times that an instance lacked the position of a read */
+    uint64_t retries; /* repeated attempts of statements */
     uint64_t parked;
-    uint64_t lost_conns;        /* connections, with a statement on them */
-    uint64_t opened_conns;      /* connections to instances */
-    uint64_t replaced_conns;    /* of these, closed for another account's */
-    uint64_t unknown_keys;      /* operations and sessions refused for their key */
+    uint64_t lost_conns;        /* connections lost with a statement on them */
+    uint64_t opened_conns;      /* connections opened to instances */
+    uint64_t replaced_conns;    /* connections closed to open one for another account */
+    uint64_t unknown_keys;      /* operations and sessions refused because of their key */
     uint64_t relayed;           /* sessions that another node serves */
-    uint64_t relayed_by_others; /* of these, by way of a node that is no holder */
-    uint64_t passed_on;         /* sessions that came relayed and went on to a holder */
-    uint64_t trials;            /* of nodes that were doubted or silent */
-    uint64_t silent_told;       /* questions whose node was silent, answered here */
-    uint64_t statements_relayed,
-        statements_served; /* statements passed to other nodes; served for others */
-    uint64_t ends[PX_END_REASONS],
-        cut; /* sessions that were closed here; with a question open */
-    uint64_t
-        dropped; /* of these, with bytes that came after the close and were not looked at */
+    uint64_t relayed_by_others; /* of `relayed`, those by way of a node that is no holder */
+    uint64_t passed_on;         /* sessions relayed to this node and relayed on to a holder */
+    uint64_t trials;            /* trials of nodes that were in doubt or silent */
+    uint64_t silent_told;       /* requests answered here because the serving node was silent */
+    uint64_t statements_relayed, statements_served; /* sent to other nodes; run for them */
+    uint64_t ends[PX_END_REASONS], cut; /* sessions closed by this node; with a request open */
+    uint64_t dropped; /* sessions closed by this node while unread bytes arrived */
     uint64_t log_lines_left_out;
 };
 
@@ -292,92 +291,96 @@
     struct nt_listener *listener;
     struct rn_rng rng;
 
-    /* what is in force */
+    /* configuration in force */
     struct cg_catalog catalog;
-    struct cg_taking loading;            /* of `document` */
-    struct vw_document loading_document; /* is being taken in */
-    struct vw_document newest_document;  /* the newest, if another is being taken in */
-    uint64_t newest_version;             /* version of the newest */
+    struct cg_taking loading;            /* of `loading_document` */
+    struct vw_document loading_document; /* being loaded */
+    struct vw_document newest_document;  /* the next to load, if another is being loaded */
+    uint64_t newest_version;             /* version of the newest document received */
     int n_groups;
     struct px_group **groups; /* sorted by name */
     int n_nodes;
-    struct px_fulls fulls; /* instances that take fewer connections than this node's shares */
-    struct ho_node *nodes; /* entry nodes with a lease, prepared */
-    int64_t configured_at; /* the first document came */
-    bool knew_nodes;       /* px_knows_nodes, when groups were looked at last */
+    struct px_fulls fulls; /* instances that accept fewer connections than this node's shares */
+    struct ho_node *nodes; /* entry nodes with a lease, prepared by ho_prepare */
+    int64_t configured_at; /* when the first document came into force */
+    bool knew_nodes;       /* px_knows_nodes at the last update of the groups */
     struct px_neighbor *neighbors;
-    struct px_inst *removed_insts; /* not in the view, with connections still */
+    struct px_inst *removed_insts; /* removed from the view, with connections still open */
     int n_accounts;
-    struct px_account *accounts; /* that had operations here */
-    struct ix_index account_at;  /* numbers in `accounts` */
-    int64_t permits_expire_at;   /* they end */
-    bool permits_unreported;     /* the leader does not know what there is */
-    bool has_changes;            /* instances came, or groups to hold, since px_has_changes */
-    int64_t leased_at;           /* when the lease was live last */
-    int64_t last_seek_at;        /* a session looked for a node that passes it on */
-    int64_t isolated_until;      /* cut off, and no other node answers: none is asked before */
+    struct px_account *accounts; /* accounts that had operations here */
+    struct ix_index account_at;  /* index in `accounts` by name */
+    int64_t permits_expire_at;
+    bool permits_unreported; /* the leader does not know the permits of this node */
+    bool has_changes;        /* instances or held groups were added since px_has_changes */
+    int64_t leased_at;       /* when the lease was last valid */
+    int64_t last_seek_at;    /* when a session last looked for a node that passes it on */
+    int64_t isolated_until;  /* disconnected, and no other node answers: none is tried before */
 
     /* sessions */
     struct px_session *sessions, *active;
     int n_sessions;
-    uint64_t last_number; /* of a session; they are counted from 1 */
+    uint64_t last_number; /* number of the last session; the first has 1 */
     int64_t next_slow_tick;
 
-    /* the end */
+    /* shutdown */
     bool stopping;
     int64_t stop_began;
 
-    /* lines of failures that may be logged in the second that began at log_budget_at */
+    /* rate limit of failure lines in the log: lines left in the second from log_budget_at */
     int64_t log_budget_at;
     int log_budget;
 
     struct px_counters c;
     struct nt_traffic traffic[PX_PEERS][PX_DISTANCES];
-    struct nt_traffic served_traffic; /* with nodes whose sessions are served here */
+    struct nt_traffic served_traffic; /* with nodes that relay sessions to this one */
     struct hi_hist latency_read, latency_write;
     struct px_stages stages;
-    int64_t stages_logged_at; /* in the log */
+    int64_t stages_logged_at;
 };
 
-/* Count the bytes of a connection to an instance or node in that failure domain. */
+/* Counts the bytes of a connection to an instance or node in failure domain `domain`. */
 void px_meter(struct px_proxy *p, struct nt_conn *net, enum px_peer to, const char *domain);
 
-/* answer.c: what callers are told */
+/* answer.c: answers to callers */
 void px_greet(struct px_session *s);
-/* Answer the session's statement with what the connection holds, a failure included; then go on
- * with what the caller sent meanwhile. */
+/* Answers the session's statement with the result on the connection, which may be a failure;
+ * then handles what the caller sent in the meantime. */
 void px_answer(struct px_session *s, const struct px_conn *from);
-/* The proxy itself carried the statement out: it ran nowhere. */
+/* Acknowledges a statement that the proxy carried out itself, without an instance. */
 void px_answer_local(struct px_session *s);
-/* The statement, at work or not, ends with this failure; go on as after px_answer. */
+/* Ends the statement, running or not, with this failure; then continues like px_answer. */
 void px_refuse(struct px_session *s, enum er_kind kind, const char *detail);
-/* What was asked of a relayed session ran nowhere. */
+/* Answers the pending requests of a relayed session with this failure. */
 void px_refuse_relayed(struct px_session *s, enum er_kind kind, const char *detail);
-/* Instead of a greeting: this node is cut off, and so are those that it reaches. */
+/* Refuses to open the session: this node and those that it reaches are disconnected from
+ * control. */
 void px_fail_disconnected(struct px_session *s);
-/* Close the caller's connection, at once or after what is queued, and note why: a caller whose
- * question is open does not learn whether it ran. */
+/* Closes the caller's connection, at once or after what is queued, and counts the reason. A
+ * caller with a request open does not learn whether it ran. */
 void px_close(struct px_session *s, enum px_end_reason why, bool at_once);
 const char *px_end_reason_name(enum px_end_reason why);
-/* So many bytes came after px_close and were not looked at. */
+/* Counts and logs that `bytes` arrived after px_close and were not read. */
 void px_note_dropped(struct px_session *s, size_t bytes);
-/* Close the connection of a session at rest. False, and it stays open: its caller has said
- * something that is not read yet, or is still being told something, which comes first. */
+/* Closes the connection of an idle session. Returns false and leaves it open if bytes from the
+ * caller are unread or bytes to it are unsent: those come first. */
 bool px_close_idle(struct px_session *s, enum px_end_reason why);
-/* The same for a session at rest that another node may relay to us: that node is told, and what
- * still comes is not run. Whoever ends a session asks again until its connection is closed. */
+/* Like px_close_idle, for a session that another node may relay to this one: sends PX_END to
+ * that node, and runs nothing that still arrives. Callers repeat the call until the connection
+ * is closed. */
 void px_end_idle(struct px_session *s, enum px_end_reason why);
-/* When in a span it is this session's turn: they don't all come back at once. */
+/* A pseudo-random delay in 0..span_us, fixed for each session, so that callers don't all
+ * reconnect at once.
+ */
 int64_t px_stagger_us(const struct px_session *s, int64_t span_us);
-/* A failure that ends the session. */
+/* Sends a failure that ends the session, and closes the connection. */
 void px_fail_and_close(struct px_session *s, enum er_kind kind, const char *detail);
 
-/* statement.c: what a statement does to its session */
+/* statement.c: effect of a statement on its session */
 void px_statement(struct px_session *s, const struct px_msg *m);
 
-/* accounts.c: whom a session is for */
-/* The account of the session's next operation on that route, by the document in force, to
- * s->account. False: its key belongs to none, and the route asks for one. */
+/* accounts.c: the account of a session */
+/* Sets s->account to the account of the session's next operation on that route, by the document
+ * in force. Returns false if no account has its key and the route requires one. */
 bool px_identify(struct px_session *s, const struct cg_route *r);
 /* Whether the document lists accounts. */
 static inline bool px_has_accounts(const struct px_proxy *p)
@@ -385,78 +388,80 @@
     return p->catalog.accounts.given;
 }
 
-/* limits.c: accounts' limits */
-/* An operation of the session's account begins: whether it needs a permit. */
+/* limits.c: limits of accounts */
+/* Starts an operation of the session's account: decides whether it needs a permit. */
 void px_permit_begin(struct px_session *s);
-/* Take the operation's permit if it is due. */
+/* Takes a permit for the operation if it needs one and has none. */
 enum lm_verdict px_permit_take(struct px_session *s);
-/* A statement of the operation is sent once more, and may have run before: it counts again. */
+/* Counts a statement again that is sent once more, as it may have run before. */
 void px_permit_charge_retry(struct px_session *s);
-/* The operation is over the limit: how it is refused. */
+/* Refuses an operation whose account is over its limit. */
 void px_refuse_over_limit(struct px_session *s);
 
-/* session.c: the caller's connection */
+/* session.c: connections of callers */
 bool px_listen(struct px_proxy *p, struct er_err *err);
-/* Work through what the caller sent while its last statement was at work. */
+/* Handles the input that arrived while the last statement ran. */
 void px_session_resume(struct px_session *s);
-/* Look at all sessions: whose time to open, to rest or to stay is over. */
+/* Checks the time limits of all sessions: opening, idle in transaction, closing. */
 void px_sessions_slow_tick(struct px_proxy *p, int64_t now);
 
-/* proxy.c: what was heard */
-/* What peers had said by this time was taken in. A verdict that one of them is silent, or that
- * something has not come, compares with it: after a long step more waits in the sockets. */
+/* proxy.c: input */
+/* All input that had arrived by this time was read. Silence and missing answers are judged by
+ * it and not by the clock: after a long step of the loop, input may wait unread in the sockets.
+ */
 int64_t px_received_until(const struct px_proxy *p);
 
 /* proxy.c: the lease */
-/* A lease outlives an election; who has none for longer is on its own. */
+/* A lease outlives an election, so a node without one for longer is probably disconnected. */
 enum { PX_DISCONNECTED_US = 300000 };
 
-/* Whether no term of the view was replaced. */
+/* Whether this node has a valid lease, so that no term of its view was replaced. */
 bool px_leased(const struct px_proxy *p);
-/* Without a lease for so long that this node is probably cut off from control, and others are
- * not. */
+/* Whether the lease is lost for so long that this node is probably disconnected from control
+ * while other nodes are not. */
 bool px_disconnected(const struct px_proxy *p);
 
 /* relay.c: sessions that another node serves */
-/* Whether another node holds the session's group, or probably has connections to it while this
- * node has none, and may be asked to serve it. */
+/* Whether another node should serve the session: one that holds the group while this node does
+ * not, or that probably has connections to it while this node has none. */
 bool px_should_relay(const struct px_session *s);
 void px_relay_start(struct px_session *s);
-/* What the caller of a relayed session says. */
+/* Handles input from the caller of a relayed session. */
 void px_relay_input(struct px_session *s, const char *data, size_t len);
-/* The caller has gone; nothing happens if the session is not relayed. */
+/* Stops the relay of a session whose caller has closed; does nothing if it is not relayed. */
 void px_relay_stop(struct px_session *s);
 void px_relay_tick(struct px_session *s, int64_t now);
-/* Whether another node opens this session for a caller of its own; *document: the version that
- * it acts on; *pass_on: it reaches no holder of the group. */
+/* Whether another node opens this session for a caller of its own. *document: the version that
+ * node acts on; *pass_on: it reaches no holder of the group. */
 bool px_parse_relayed(const struct px_msg *open, uint64_t *document, bool *pass_on);
 /* Why a session is opened at another node. */
 enum px_hello {
-    PX_HELLO_TRIAL,  /* to see whether it greets, whatever it acts on */
+    PX_HELLO_TRIAL,  /* to test whether it greets, whatever document it acts on */
     PX_HELLO_SERVE,  /* to be served there */
-    PX_HELLO_PASS_ON /* to be passed on: it is no holder */
+    PX_HELLO_PASS_ON /* to be relayed on to a holder, as that node is none */
 };
 void px_relay_hello(struct px_proxy *p, struct nt_conn *net, const char *database,
                     const char *key, enum px_hello why);
-/* Whether a question of the relayed session's went to the other node and has no answer yet. */
+/* Whether a request of the relayed session was sent to the serving node and not answered yet.
+ */
 bool px_relay_pending(const struct px_session *s);
-/* Whether a relayed session has neither a statement nor a transaction at the other node. */
+/* Whether a relayed session has neither a statement nor a transaction at the serving node. */
 bool px_relay_idle(const struct px_session *s);
 
-/* targets.c: where sessions are relayed to */
-enum { PX_MAX_TRIES = 16 }; /* nodes that are asked for one session */
+/* targets.c: choice of the node to relay to */
+enum { PX_MAX_TRIES = 16 }; /* nodes tried for one session */
 
 struct px_tried_nodes {
     int n;
     struct px_neighbor *nb[PX_MAX_TRIES];
 };
 struct px_target {
-    int node;       /* in p->nodes; -1: nobody is left */
-    bool passes_on; /* it holds nothing itself */
+    int node;       /* index in p->nodes; -1: none is left to try */
+    bool passes_on; /* the node is no holder and passes the session on to one */
 };
-/* The group of the session's database: a relayed session takes no route here. */
+/* The group of the session's database. A relayed session has no route at this node. */
 struct px_group *px_database_group(const struct px_session *s);
-/* `seeks`: the session is at a look for a node that passes it on. */
+/* `seeks`: the session already looks for a node that passes it on. */
 struct px_target px_next_target(const struct px_session *s, const struct px_tried_nodes *t,
                                 bool seeks, int64_t now);
 
@@ -496,8 +501,8 @@
 /* Whether this node has an open connection to the group's primary, as far as there is one. */
 bool px_reaches(const struct px_group *g);
 
-/* work.c: one statement on its way */
-enum { PX_PARK_US = 20000 }; /* between two looks at what a parked statement waits for */
+/* work.c: routing and retries of a statement */
+enum { PX_PARK_US = 20000 }; /* interval between two attempts to route a parked statement */
 
 static inline bool px_in_txn(const struct px_session *s)
 {
@@ -505,35 +510,36 @@
 }
 /* Whether no replica may serve the statement. */
 bool px_needs_primary(const struct px_session *s);
-/* The session has a statement; from now on until px_end_work it is among the active ones. */
+/* Starts the session's statement; the session is in the active list until px_end_work. */
 void px_begin_work(struct px_session *s);
-/* Find an instance for it, or park it. */
+/* Chooses an instance for the statement, or parks it. */
 void px_route_work(struct px_session *s);
-/* The statement is over, or its session is; nothing is told. */
+/* Ends the statement because it is done or its session ends; sends no answer. */
 void px_end_work(struct px_session *s);
-/* The statement's present stage is over, and is counted as that part. */
+/* Records the time since the last stage ended as the latency of `stage`. */
 void px_stage_done(struct px_session *s, enum px_latency_stage stage);
-/* Look at it again at that time, or in the first tick after. */
+/* Parks the statement until that time; it is routed again in the first tick after. */
 void px_park(struct px_session *s, int64_t until);
-/* Another try, at once or later. False: it counts, and there were as many as are allowed. */
+/* Routes the statement again, at once or after `after_us`. Returns false if the attempt counts
+ * and the route allows no more. */
 bool px_retry(struct px_session *s, int64_t after_us, bool counts);
-/* Whether no further try that counts is allowed. */
+/* Whether the route allows no further attempt that counts. */
 bool px_last_try(const struct px_session *s);
-/* Every tick: whether it waits too long where it is. */
+/* Checks the time limits of the statement; called every tick. */
 void px_work_tick(struct px_session *s, int64_t now);
 
-/* outcome.c: what comes of a statement */
-/* The connection has the whole answer. */
+/* outcome.c: outcome of a statement */
+/* The connection received the whole answer. */
 void px_on_answer(struct px_session *s, struct px_conn *c);
-/* Nothing of the statement was sent. */
+/* The statement could not be sent; nothing of it was. */
 void px_on_not_sent(struct px_session *s, struct px_conn *c, enum er_kind why);
-/* The connection died; `sent`: with the statement on it. */
+/* The connection was lost; `sent`: the statement had been sent on it. */
 void px_on_conn_lost(struct px_session *s, struct px_conn *c, bool sent);
-/* Its time is up. */
+/* Ends a statement whose deadline has passed. */
 void px_expire(struct px_session *s);
-/* The session's transaction ends here: roll back what is open. */
+/* Gives up the session's transaction: rolls back what is open at the instance. */
 void px_drop_txn(struct px_session *s);
-/* The same without the caller's doing: its next statement is told. */
+/* Like px_drop_txn, but not on the caller's request: its next statement fails. */
 void px_abort_txn(struct px_session *s);
 
 /* pool.c: instances */
@@ -578,11 +584,11 @@
 void px_conn_close(struct px_conn *c);
 void px_conn_tick(struct px_conn *c, int64_t now);
 
-/* documents.c: the document that is in force */
+/* documents.c: the configuration document in force */
 
-/* The view's, which may be the one that is in force. */
+/* Loads the document of the view, unless its version was received before. */
 void px_load_document(struct px_proxy *p, const struct vw_document *d);
-/* Whether an older one is acted on while a newer one is being taken in. */
+/* Whether an older document is in force while a newer one is being loaded. */
 bool px_document_loading(const struct px_proxy *p);
 void px_documents_tick(struct px_proxy *p);
 
