--- a/proxy/accounts.c
+++ b/proxy/accounts.c
@@ -1,8 +1,8 @@
-/* Whom a session is for: its caller's key, and the document in force. */
+/* Determines the account of a session from its caller's key and the document in force. */
 #include "proxy/priv.h"
 
-/* What instances are told of callers of a route that is open to all: no account is called so.
- */
+/* The account name sent to instances for callers of a route that is open to all; no account has
+ * this name. */
 static const char no_account[] = "-";
 
 bool px_identify(struct px_session *s, const struct cg_route *r)
--- a/proxy/documents.c
+++ b/proxy/documents.c
@@ -1,12 +1,12 @@
-/* Taking configuration documents in: a part in each tick, while the one in force stays. One
- * that is being taken in is finished before a newer one is begun, else a node that is offered
- * one after the other would act on none of them. */
+/* Loads configuration documents: a part in each tick, while the current one stays in force. A
+ * document that is being loaded is finished before a newer one is started; otherwise a node
+ * that receives one after the other would never put one in force. */
 #include <stdlib.h>
 
 #include "proxy/priv.h"
 
 enum {
-    ELEMENTS_PER_TICK = 200, /* elements */
+    ELEMENTS_PER_TICK = 200, /* elements of a document parsed per tick */
 };
 
 static void free_document(struct vw_document *d)
@@ -34,7 +34,7 @@
                   (struct sr_str){p->loading_document.text, p->loading_document.len});
 }
 
-/* Whether a document came into force. */
+/* Continues loading; returns whether a document came into force. */
 static bool continue_loading(struct px_proxy *p)
 {
     struct cg_catalog c;
@@ -49,7 +49,7 @@
     if (step == CG_DONE)
         activate(p, &c);
     else
-        FL_ERR(&p->log, "document %llu can't be read: %s",
+        FL_ERR(&p->log, "configuration document %llu can't be read: %s",
                (unsigned long long)p->loading_document.version, err.text);
     free_document(&p->loading_document);
     return step == CG_DONE;
@@ -78,6 +78,6 @@
     px_holders_changed(p);
     for (struct px_session *s = p->active; s; s = s->next_active) {
         if (s->stage == PX_S_PARKED)
-            s->retry_at = 0; /* it may be allowed otherwise now */
+            s->retry_at = 0; /* the new document may allow or route it differently */
     }
 }
--- a/proxy/limits.c
+++ b/proxy/limits.c
@@ -1,4 +1,4 @@
-/* Limits of client accounts: operations begin with a permit (limit/). */
+/* Limits of client accounts: an operation needs a permit to start (limit/). */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -27,7 +27,7 @@
     return a && a->limited;
 }
 
-/* ---- their permits' life ---- */
+/* ---- expiry of permits ---- */
 
 static void discard_permits(struct px_proxy *p)
 {
@@ -74,7 +74,7 @@
         px_stage_done(s, PX_T_PERMIT);
         a->begun++;
     } else if (v == LM_WAIT) {
-        s->p->has_changes = true; /* asked for with a renewal of its own */
+        s->p->has_changes = true; /* the next renewal is sent early and requests permits */
     }
     return v;
 }
@@ -119,7 +119,7 @@
     p->permits_unreported = false;
 }
 
-/* Those that wait for it go on at once. */
+/* Routes the statements that wait for a permit of the account. */
 static void wake_waiting(struct px_proxy *p, const char *account)
 {
     for (struct px_session *s = p->active, *next; s; s = next) {
@@ -134,7 +134,7 @@
                         uint32_t n)
 {
     if (sent + LM_LIFE_US <= ck_now())
-        return; /* a VM that was frozen: the leader has forgotten them */
+        return; /* the VM was frozen; the leader has already expired these permits */
     px_permits_renewed(p, sent);
     for (uint32_t i = 0; i < n; i++) {
         char name[AC_NAME];
@@ -142,7 +142,7 @@
         if (!sr_copy(name, sizeof(name), permits[i].account) || !name[0])
             continue;
         lm_answered(&account_of(p, name)->permits, &a, ck_now());
-        if (a.given > 0 || a.over_us > 0) /* else they ask anew in a while */
+        if (a.given > 0 || a.over_us > 0) /* else the next request follows later */
             wake_waiting(p, name);
     }
 }
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -7,13 +7,13 @@
 #include "proxy/priv.h"
 
 enum {
-    KEEP_CONN_US =
-        5000000, /* an account's connection is wanted for so long after a statement */
-    STAGES_LOG_INTERVAL_US = 10000000, /* a line in the log */
-    SLOW_TICK_INTERVAL_US = 50000,     /* sessions that rest are looked at so often */
-    /* Of the time from the order to stop until the process is killed: */
-    STOP_FORCE_PERCENT = 55,  /* transactions still open then are rolled back */
-    STOP_LINGER_PERCENT = 75, /* whoever has not closed by then is closed with the process */
+    /* Time that an account's connection is kept after its last statement. */
+    KEEP_CONN_US = 5000000,
+    STAGES_LOG_INTERVAL_US = 10000000, /* interval of the "stages" log line */
+    SLOW_TICK_INTERVAL_US = 50000,     /* interval of the checks of idle sessions */
+    /* Percentages of the time from the stop request until the process is killed. */
+    STOP_FORCE_PERCENT = 55,  /* then open transactions are rolled back */
+    STOP_LINGER_PERCENT = 75, /* then the process ends with the sessions that are still open */
 };
 
 struct px_proxy *px_create(struct nt_loop *l, const struct px_config *cfg, struct er_err *err)
@@ -56,8 +56,8 @@
 
 /* ---- shares ---- */
 
-/* Connections that accounts used lately: given up, each would have to be opened anew for its
- * account's next statement. */
+/* The number of connections that accounts used recently. If they were given up, each would have
+ * to be opened again for its account's next statement. */
 static int recently_used(const struct px_inst *in, int64_t now)
 {
     int k = 0;
@@ -72,15 +72,16 @@
 {
     int used = recently_used(in, ck_now());
     int held = in->n_conns > in->share ? in->n_conns : in->share;
-    /* One at hand for what comes next, and room for accounts that had to make place. Where the
-     * group is another node's now, sessions that move there within a second go on meanwhile:
-     * without connections of theirs 50 statements in 2 s ran into their time limit while 42 of
-     * 76 nodes were restarted in turn. */
+    /* Wants one more than is used, for new demand, and room for accounts whose connections were
+     * replaced. For a group that another node holds now, the connections in use are still
+     * wanted, as its sessions go on here until they move, within a second: without them 50
+     * statements exceeded their time limit within 2 s while 42 of 76 nodes were restarted in
+     * turn. */
     int extra = in->group->held ? 1 + in->replaced : 0;
     int want = in->cfg.draining ? 0 : (used > in->peak ? used : in->peak) + extra;
     in->replaced -= (in->replaced + 3) / 4;
     *out = (struct wr_share){sr_from(in->cfg.id), (uint32_t)held, (uint32_t)want};
-    in->peak -= (in->peak + 3) / 4; /* demand is forgotten slowly: a share costs time to get */
+    in->peak -= (in->peak + 3) / 4; /* demand decays slowly, as a share takes time to get */
     if (in->peak < in->busy + in->n_waiters)
         in->peak = in->busy + in->n_waiters;
 }
@@ -125,9 +126,10 @@
     }
 }
 
-/* ---- time ---- */
+/* ---- ticks and shutdown ---- */
 
-/* Half of the time to end is for transactions; what is still open then is rolled back. */
+/* Transactions have STOP_FORCE_PERCENT of the stop time to end; then those still open are
+ * rolled back. */
 static void abort_open_txns(struct px_proxy *p, int64_t now)
 {
     if (!p->stopping || now - p->stop_began < p->cfg.grace_us * STOP_FORCE_PERCENT / 100)
@@ -237,7 +239,8 @@
     }
 }
 
-/* Statements beside put_traffic's bytes: together they tell what one costs on the link. */
+/* Statements by peer. With the bytes of put_traffic they show what a statement costs on the
+ * link. */
 static void put_peer_statements(struct sr_buf *out, const struct px_proxy *p)
 {
     const struct {
@@ -264,7 +267,7 @@
     return here != there ? (here < there ? 1 : -1) : strcmp(x->name, y->name);
 }
 
-/* All accounts, by use; the caller frees it. */
+/* All accounts, the most used first. The caller frees the list. */
 static const struct px_account **accounts_by_use(const struct px_proxy *p)
 {
     const struct px_account **a =
@@ -306,8 +309,8 @@
                   limit->name, limit->rate, limit->name, limit->burst);
 }
 
-/* Those that are used most, the rest together as "-": the number is bounded, whatever documents
- * hold. */
+/* Writes the most used accounts, and the rest summed up as "-", so that the number of metrics
+ * is bounded whatever the document lists. */
 static void put_accounts(struct sr_buf *out, const struct px_proxy *p)
 {
     const struct px_account **a = accounts_by_use(p);
@@ -338,7 +341,7 @@
     return n;
 }
 
-/* Statements that wait for a route, a permit or a connection now. */
+/* The number of statements that wait for a route, a permit or a connection. */
 static int waiting_now(const struct px_proxy *p)
 {
     int k = 0;
--- a/proxy/stages.h
+++ b/proxy/stages.h
@@ -1,7 +1,7 @@
-/* Where a statement's time goes, stage by stage, over the statements of a node.
+/* Latency of statements by stage, over all statements of a node.
  *
- * An operator who sees slow statements learns from it whether they wait for a permit, for a
- * connection, for what the connection has to be told first, or for the instance. Pure. */
+ * Shows an operator whether slow statements wait for a permit, for a connection, for the setup
+ * of the connection, or for the instance. Pure functions; times are in microseconds. */
 #ifndef FL_PROXY_STAGES_H
 #define FL_PROXY_STAGES_H
 
@@ -12,15 +12,15 @@
 #include "misc/str.h"
 
 enum px_latency_stage {
-    PX_T_PERMIT,   /* until it may begin */
-    PX_T_WAIT,     /* for a connection: parked, in a queue, while one is opened */
-    PX_T_SETUP,    /* values, prepared names and BEGIN on the connection */
-    PX_T_INSTANCE, /* its own answer */
-    PX_T_RELAY,    /* asked of another node, its stages there included */
+    PX_T_PERMIT,   /* wait for a permit */
+    PX_T_WAIT,     /* wait for a connection: parked, queued, or while one is opened */
+    PX_T_SETUP,    /* values, prepared statements and BEGIN on the connection */
+    PX_T_INSTANCE, /* until the instance's answer */
+    PX_T_RELAY,    /* at another node, including its stages there */
     PX_T_COUNT
 };
 
-/* Since the last report, and since the start. */
+/* `hist` counts since the start; `n` and `sum_us` since the last report. */
 struct px_stages {
     struct hi_hist hist[PX_T_COUNT];
     uint64_t n[PX_T_COUNT];
@@ -28,8 +28,8 @@
 };
 
 void px_stages_add(struct px_stages *t, enum px_latency_stage stage, int64_t us);
-/* "permit=12/0.4 wait=...": statements and their mean in ms, by stage; starts anew. False:
- * there was none since the last report. */
+/* Appends "permit=12/0.4 wait=...", the number of statements and their mean in ms by stage, and
+ * starts a new period. Returns false if there was no statement in the period. */
 bool px_stages_report(struct px_stages *t, struct sr_buf *out);
 void px_stages_metrics(const struct px_stages *t, struct sr_buf *out);
 
--- a/proxy/state.c
+++ b/proxy/state.c
@@ -16,7 +16,7 @@
     return sr_eq(sr_from(z), s);
 }
 
-/* ---- the session's ---- */
+/* ---- state of a session ---- */
 
 bool px_set_value(struct px_state *s, struct sr_str name, struct sr_str value,
                   struct er_err *err)
@@ -25,7 +25,7 @@
     while (i < s->n_values && !str_equals(s->values[i].name, name))
         i++;
     if (i == PX_MAX_VALUES)
-        return er_set(err, ER_TOO_LARGE, "%d values are the most of a session", PX_MAX_VALUES);
+        return er_set(err, ER_TOO_LARGE, "a session can have at most %d values", PX_MAX_VALUES);
     if (i == s->n_values) {
         s->values = sr_realloc(s->values, sizeof(*s->values) * (size_t)(i + 1));
         s->values[i] = (struct px_value){.name = dup_str(name)};
@@ -70,7 +70,7 @@
         return true;
     }
     if (s->n_prepared == PX_MAX_PREPARED)
-        return er_set(err, ER_TOO_LARGE, "%d prepared statements are the most of a session",
+        return er_set(err, ER_TOO_LARGE, "a session can have at most %d prepared statements",
                       PX_MAX_PREPARED);
     add_prepared(&s->prepared, &s->n_prepared, dup_str(name), shape, writes);
     return true;
@@ -105,7 +105,7 @@
     *s = (struct px_state){0};
 }
 
-/* ---- the connection's ---- */
+/* ---- state of a connection ---- */
 
 const char *px_prepared_name_on(const struct px_applied *a, const struct px_prepared *run)
 {
@@ -117,7 +117,7 @@
     return NULL;
 }
 
-/* Of the values that the connection lacks, the one that was set first. */
+/* The value set first among those that the connection lacks. */
 static const struct px_value *next_value(const struct px_state *s, uint64_t has)
 {
     const struct px_value *best = NULL;
--- a/proxy/state.h
+++ b/proxy/state.h
@@ -1,24 +1,25 @@
-/* What a session has set and prepared, and what of it an instance's connection has.
+/* The values and prepared statements of a session, and those that are set up on a connection to
+ * an instance.
  *
- * Pure. A connection serves many sessions: before a statement runs on it, what it lacks of the
- * session's state is put there, one statement after the other. Prepared statements are named by
- * their content there, so sessions that prepared the same share them and names can't clash. */
+ * Pure functions. A connection serves many sessions: before a statement runs on it, the parts
+ * of the session's state that it lacks are set up there, one statement after the other. On a
+ * connection, prepared statements are found by their content, so that sessions with equal
+ * statements share them and names can't clash. */
 #ifndef FL_PROXY_STATE_H
 #define FL_PROXY_STATE_H
 
 #include "proxy/wire.h"
 
 enum {
-    PX_MAX_VALUES = 256,   /* of a session */
-    PX_MAX_PREPARED = 256, /* of a session */
-    PX_MAX_PREPARED_ON_CONN =
-        128, /* prepared statements a connection keeps before it starts anew */
+    PX_MAX_VALUES = 256,           /* of a session */
+    PX_MAX_PREPARED = 256,         /* of a session */
+    PX_MAX_PREPARED_ON_CONN = 128, /* prepared statements on a connection before it is reset */
     PX_STMT_NAME = 24,
 };
 
 struct px_value {
     char *name, *value;
-    uint64_t version; /* of the state when it was set */
+    uint64_t version; /* px_state.version when it was set */
 };
 
 struct px_prepared {
@@ -26,21 +27,21 @@
     bool writes;
 };
 
-/* A session's state. Zero-initialised is empty. */
+/* State of a session. A zeroed struct is empty. */
 struct px_state {
     uint64_t session; /* number of the session in this process, above 0 */
-    uint64_t version; /* grows with each value that is set */
+    uint64_t version; /* incremented by each px_set_value */
     int n_values, n_prepared;
     struct px_value *values;
     struct px_prepared *prepared;
 };
 
-/* What a connection has. Zero-initialised is that of a new one. */
+/* State set up on a connection. A zeroed struct is that of a new connection. */
 struct px_applied {
-    uint64_t session; /* whose values it has; 0 none */
-    uint64_t version;
+    uint64_t session; /* session whose values are set; 0: none */
+    uint64_t version; /* px_state.version of the last value set here */
     int n_prepared;
-    unsigned last_name;
+    unsigned last_name; /* number in the name of the last statement prepared here */
     struct px_prepared *prepared;
 };
 
@@ -52,13 +53,14 @@
 const struct px_prepared *px_find_prepared(const struct px_state *s, struct sr_str name);
 void px_state_free(struct px_state *s);
 
-/* The statement that the connection needs next before `run` (NULL: none by name) may run for
- * the session. False: it has all. Strings in *st belong to the state, or to `name`. */
+/* Finds the statement that the connection needs next before `run` (NULL: not a prepared
+ * statement) can run for the session. Returns false if none is needed. Strings in *st belong to
+ * the state, or to `name`. */
 bool px_next_setup(const struct px_state *s, const struct px_applied *a,
                    const struct px_prepared *run, char name[PX_STMT_NAME], struct px_stmt *st);
-/* That statement was acknowledged. */
+/* Records that the instance acknowledged that statement. */
 void px_setup_done(const struct px_state *s, struct px_applied *a, const struct px_stmt *st);
-/* The name of a prepared statement on the connection, NULL if it is not there. */
+/* The name of a prepared statement on the connection; NULL if it is not there. */
 const char *px_prepared_name_on(const struct px_applied *a, const struct px_prepared *run);
 void px_applied_free(struct px_applied *a);
 
--- a/proxy/wire.h
+++ b/proxy/wire.h
@@ -1,10 +1,10 @@
-/* What callers whose connection is a session say, and what instances that hold their databases
- * say: the same messages on both sides, as types. A codec (platform/) reads and writes them.
+/* Messages on connections that are sessions, from callers to the proxy and from the proxy to
+ * instances, as types. A codec (platform/) parses and writes them.
  *
- * On a session: PX_OPEN is answered by PX_READY, or by PX_FAILURE and a close. Each
- * PX_STATEMENT is answered by any PX_ROW, then PX_DONE or PX_FAILURE, then PX_READY. PX_END is
- * the end; between entry nodes, from the one that serves a relayed session, it says that
- * nothing that came after its last PX_READY was or will be run. */
+ * PX_OPEN is answered by PX_READY, or by PX_FAILURE and a close. Each PX_STATEMENT is answered
+ * by any number of PX_ROW, then PX_DONE or PX_FAILURE, then PX_READY. PX_END ends the session.
+ * Sent by an entry node to the node that relays the session, PX_END means that nothing received
+ * after its last PX_READY was or will be run. */
 #ifndef FL_PROXY_WIRE_H
 #define FL_PROXY_WIRE_H
 
@@ -12,11 +12,11 @@
 #include "misc/pos.h"
 #include "misc/str.h"
 
-enum { PX_MAX_LINE = 1 << 20 }; /* bytes of a message */
+enum { PX_MAX_LINE = 1 << 20 }; /* maximum size of a message in bytes */
 
-/* What a message is. */
+/* Kinds of messages. */
 enum px_kind {
-    PX_BAD, /* can't be understood */
+    PX_BAD, /* not a valid message */
     PX_OPEN,
     PX_STATEMENT,
     PX_END,
@@ -26,34 +26,34 @@
     PX_READY
 };
 
-/* Where a session stands after an answer. */
+/* Transaction state of a session after an answer. */
 enum px_txn {
     PX_IDLE,
     PX_IN_TXN,
-    PX_TXN_FAILED, /* only its end is taken, and that rolls back */
+    PX_TXN_FAILED, /* failed: only its end is accepted, which rolls back */
 };
 
-/* A message; which fields count depends on its kind. */
+/* A message; its kind decides which fields are set. */
 struct px_msg {
     enum px_kind kind;
-    struct sr_str database;  /* PX_OPEN: of a caller the database, to an instance its group */
-    struct sr_str identity;  /* PX_OPEN: any word */
-    struct sr_str expect;    /* PX_OPEN: the instance that is meant; empty: any */
-    struct sr_str id;        /* PX_STATEMENT: empty: the proxy's own */
+    struct sr_str database;  /* PX_OPEN: from a caller the database, to an instance its group */
+    struct sr_str identity;  /* PX_OPEN: who opens the session, a single word */
+    struct sr_str expect;    /* PX_OPEN: the expected instance; empty: any */
+    struct sr_str id;        /* PX_STATEMENT; empty for statements of the proxy itself */
     struct sr_str text;      /* PX_STATEMENT */
-    bool has_floor;          /* PX_STATEMENT: the log must hold `pos`, else it is not run */
+    bool has_floor;          /* PX_STATEMENT: run only if the log holds `pos` */
     struct sr_str row;       /* PX_ROW */
-    struct sr_str signature; /* PX_DONE: the instance's; empty: it ran nothing */
+    struct sr_str signature; /* PX_DONE: from the instance; empty: nothing ran there */
     enum er_kind error;      /* PX_FAILURE */
     struct sr_str detail;    /* PX_FAILURE */
     enum px_txn txn;         /* PX_READY */
     bool has_pos;            /* PX_READY */
-    struct ps_pos pos;       /* PX_READY: of the instance's log; PX_STATEMENT: the floor */
+    struct ps_pos pos; /* PX_READY: position of the instance's log; PX_STATEMENT: the floor */
 };
 
-/* What a statement does. */
+/* Kinds of statements. */
 enum px_verb {
-    PX_V_BAD, /* not one that callers may use */
+    PX_V_BAD, /* not a statement that callers may use */
     PX_V_BEGIN,
     PX_V_COMMIT,
     PX_V_ROLLBACK,
@@ -62,52 +62,55 @@
     PX_V_SET,
     PX_V_PREPARE,
     PX_V_EXECUTE,
-    PX_V_DEALLOCATE, /* a prepared name */
-    PX_V_DISCARD,    /* to instances: all values and prepared names */
+    PX_V_DEALLOCATE, /* drops a prepared statement */
+    PX_V_DISCARD,    /* sent to instances only: drops all values and prepared statements */
 };
 
-/* A statement's text, taken apart. */
+/* A parsed statement. */
 struct px_stmt {
     enum px_verb verb;
-    bool read_only;     /* BEGIN: a transaction that only reads */
-    bool writes;        /* PREPARE: what it will do */
-    struct sr_str name; /* SET, PREPARE, EXECUTE, FORGET */
-    /* SET: the value; PREPARE: the shape; EXECUTE: what follows the name */
+    bool read_only;     /* BEGIN: a read-only transaction */
+    bool writes;        /* PREPARE: whether the prepared statement writes */
+    struct sr_str name; /* SET, PREPARE, EXECUTE, DEALLOCATE */
+    /* SET: the value; PREPARE: the statement; EXECUTE: the arguments */
     struct sr_str value;
 };
 
-/* What an instance says of itself. */
+/* Status reported by an instance. */
 struct px_status {
     bool primary;
     uint64_t term;
-    struct ps_pos received; /* its log's end */
+    struct ps_pos received; /* end of its log */
     int64_t lag_us;
     int busy, connections;
 };
 
-/* How an interface writes messages and statements. */
+/* Functions that parse and write the messages and statements of an interface. */
 struct px_codec {
     const char *name;
-    /* One message, without its line end. Untrusted; kind PX_BAD if it is none. */
+    /* Parses one message, without its line end, from untrusted input; sets kind PX_BAD if it is
+     * not valid. */
     void (*parse)(struct sr_str line, struct px_msg *m);
     void (*parse_text)(struct sr_str text, struct px_stmt *st);
     bool (*parse_status)(struct sr_str row, struct px_status *st);
-    /* Append a message with its line end. */
+    /* Appends a message with its line end. */
     void (*put)(struct sr_buf *out, const struct px_msg *m);
-    /* Append a statement's text. */
+    /* Appends the text of a statement. */
     void (*put_text)(struct sr_buf *out, const struct px_stmt *st);
 };
 
-/* Cut the next line out of `in` from *at on; *at moves behind it. False: none is whole yet. */
+/* Finds the next complete line of `in` at *at and moves *at behind it. Returns false if there
+ * is none. */
 bool px_next_line(const struct sr_buf *in, size_t *at, struct sr_str *line);
-/* The same, and what the line says; its strings point into `in`. */
+/* Like px_next_line, and parses the line; the strings of *m point into `in`. */
 bool px_next_msg(const struct px_codec *codec, const struct sr_buf *in, size_t *at,
                  struct px_msg *m);
-/* Drop the first `n` bytes, which were read. */
+/* Removes the first `n` bytes, which were handled. */
 void px_consume(struct sr_buf *in, size_t n);
 
-/* How many bytes of `in` are whole lines, and the last of them, if any; it points into `in`.
- * For a stream that is only passed on: its pieces may end anywhere. */
+/* The number of bytes of `in` that are complete lines; *last is the last of these lines, if
+ * any, and points into `in`. For a stream that is only passed on, whose parts may end anywhere.
+ */
 size_t px_complete_lines(const struct sr_buf *in, struct sr_str *last);
 
 #endif
