--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -10,8 +10,8 @@
 #include "misc/log.h"
 #include "misc/rng.h"
 #include "pool/shares.h"
-#include "proxy/fit.h"
-#include "proxy/full.h"
+#include "proxy/conn_choice.h"
+#include "proxy/saturation.h"
 #include "proxy/neighbor.h"
 #include "proxy/outlier.h"
 #include "proxy/pace.h"
@@ -31,14 +31,14 @@
 struct px_group;
 
 /* What a connection to an instance is at. */
-enum px_phase {
+enum px_conn_phase {
     PX_C_OPENING,
     PX_C_IDLE,
-    PX_C_SETUP,   /* a statement of our own is out, for the session's next one */
-    PX_C_RUNNING, /* the session's statement is out */
-    PX_C_RESTING, /* in a session's transaction, between two statements */
-    PX_C_ENDING,  /* our own rollback is out */
-    PX_C_ORPHAN,  /* an answer is out that nobody waits for any more */
+    PX_C_SETUP,        /* a statement of our own is out, for the session's next one */
+    PX_C_RUNNING,      /* the session's statement is out */
+    PX_C_IDLE_IN_TXN,  /* in a session's transaction, between two statements */
+    PX_C_ROLLING_BACK, /* our own rollback is out */
+    PX_C_ORPHANED,     /* an answer is out that nobody waits for any more */
 };
 
 /* A connection to an instance. */
@@ -49,8 +49,8 @@
     struct sr_buf in; /* what has come and is not taken yet */
     bool closing;
     char account[AC_NAME]; /* it was opened for; px_identify */
-    int64_t used_at;       /* a statement was sent on it last, or it was opened */
-    enum px_phase phase;
+    int64_t last_used_at;  /* a statement was sent on it last, or it was opened */
+    enum px_conn_phase phase;
     struct px_session *session; /* it works for, or that has its transaction here */
     struct px_applied applied;
 
@@ -64,7 +64,7 @@
     /* the answer as far as it has come */
     struct sr_buf rows; /* as they go to the caller */
     struct sr_buf signature;
-    bool done; /* PX_DONE has come */
+    bool complete_seen; /* PX_DONE has come */
     enum er_kind error;
     char detail[160]; /* of the error; longer ones are cut */
     enum px_txn state;
@@ -76,23 +76,24 @@
 struct px_inst {
     struct px_proxy *p;
     struct px_group *group;
-    int at; /* index in the group */
+    int index; /* index in the group */
     struct vw_instance cfg;
-    bool gone; /* not in the view any more: freed with its last connection */
-    struct px_inst *next_gone;
+    bool removed; /* not in the view any more: freed with its last connection */
+    struct px_inst *next_removed;
 
     /* connections */
     struct px_conn *conns;
     int n_conns;
-    int share;          /* how many this node may have */
-    int busy;           /* connections that are neither opening nor idle */
-    int named;          /* renewals that name it still */
-    int peak;           /* the most that were busy or waited for, lately */
-    int64_t next_open;  /* no new connection before */
-    bool wants_first;   /* a connection is to be opened before anybody waits for it */
-    int64_t lacked_at;  /* a statement found that there is no share, and asked for one */
-    int64_t full_since; /* it has refused connections as too many since; 0: it has not */
-    struct px_full full;
+    int share;             /* how many this node may have */
+    int busy;              /* connections that are neither opening nor idle */
+    int renewals_left;     /* renewals that name it still */
+    int peak_demand;       /* the most that were busy or waited for, lately */
+    int64_t next_open_at;  /* no new connection before */
+    bool wants_first_conn; /* a connection is to be opened before anybody waits for it */
+    int64_t
+        share_requested_at; /* a statement found that there is no share, and asked for one */
+    int64_t too_many_since; /* it has refused connections as too many since; 0: it has not */
+    struct px_saturation saturation;
     int replaced;               /* connections closed for those of other accounts, lately */
     char last_account[AC_NAME]; /* the last connection was opened for */
 
@@ -101,21 +102,21 @@
     int n_waiters;
 
     /* whether it is there */
-    int64_t heard;      /* last sign of life */
-    int64_t refused_at; /* a connect was refused; 0: heard since */
-    bool asks;          /* a good connection was lost: another is to tell whether it is there */
-    int64_t told_at;    /* a suspicion, to the entry role */
+    int64_t last_received;     /* last sign of life */
+    int64_t connect_failed_at; /* a connect was refused; 0: heard since */
+    bool wants_probe; /* a good connection was lost: another is to tell whether it is there */
+    int64_t suspicion_sent_at; /* a suspicion, to the entry role */
 
     /* how it serves */
     struct px_window window;
     struct px_outlier outlier;
-    bool unfit;           /* the primary, and should hand over */
-    int64_t alone_since;  /* it fails much and others of its group do not; 0: not so */
-    int64_t service_us;   /* smoothed time of a statement */
-    double pace;          /* times what its statements take elsewhere; px_pace */
-    struct ps_pos known;  /* its log held this when it was heard last */
-    int64_t behind_until; /* it lacked a position; not asked for one like it before */
-    int64_t served_at;    /* it served a read */
+    bool wants_handover;     /* the primary, and should hand over */
+    int64_t outlier_since;   /* it fails much and others of its group do not; 0: not so */
+    int64_t service_us;      /* smoothed time of a statement */
+    double pace;             /* times what its statements take elsewhere; px_pace */
+    struct ps_pos known_pos; /* its log held this when it was heard last */
+    int64_t behind_until;    /* it lacked a position; not asked for one like it before */
+    int64_t read_served_at;  /* it served a read */
 };
 
 /* A group of the view. */
@@ -125,20 +126,20 @@
     struct px_inst *inst[VW_MAX_INSTANCES]; /* indexed like cfg.inst */
     struct px_pace pace;
     struct rt_group rt; /* samples of the primary's position; the rest is not used */
-    bool held;  /* this node has connections to its instances; else sessions go to a holder */
-    bool first; /* this node is among `holders` */
-    int64_t let_go_at; /* this node ceased to hold it */
+    bool held; /* this node has connections to its instances; else sessions go to a holder */
+    bool connects_first; /* this node is among `holders` */
+    int64_t released_at; /* this node ceased to hold it */
     /* In the proxy's nodes: those that hold it, or where all do, those that connect first. */
     int n_holders;
     uint16_t holders[HO_MAX_HOLDERS];
     /* Where the document's accounts are among the holders, by their number there; NULL until it
      * is asked for. */
-    struct sp_place *places;
+    struct sp_place *placements;
     struct px_relief relief;
-    int64_t refused_at;      /* a statement waited for its primary in vain */
-    int64_t term_since;      /* this node acts on its term */
-    int64_t settle_by;       /* planned change: what runs at the primary may end until then */
-    int64_t primary_refused; /* the view's primary said that it is none: not asked before */
+    int64_t wait_failed_at;  /* a statement waited for its primary in vain */
+    int64_t term_began_at;   /* this node acts on its term */
+    int64_t settle_deadline; /* planned change: what runs at the primary may end until then */
+    int64_t primary_refused_at; /* the view's primary said that it is none: not asked before */
 };
 
 /* What a session's statement waits for. */
@@ -244,7 +245,7 @@
 };
 
 /* Whom bytes are exchanged with, beside callers. */
-enum px_peer { PX_TO_INSTANCE, PX_TO_NODE, PX_PEERS };
+enum px_peer_kind { PX_PEER_INSTANCE, PX_PEER_NODE, PX_PEERS };
 enum { PX_DISTANCES = 3 }; /* rt_distance: the same failure domain, another, another region */
 
 /* Another entry node that sessions are or were relayed to. */
@@ -254,9 +255,9 @@
     char name[32], ip[46], domain[32];
     int port;
     int n_relays; /* that name it */
-    struct nb_neighbor b;
-    int64_t passed_at; /* it passed a session on to a holder that we did not reach */
-    struct nt_conn *trial;
+    struct nb_neighbor status;
+    int64_t passed_on_at; /* it passed a session on to a holder that we did not reach */
+    struct nt_conn *trial_conn;
     char database[CG_NAME]; /* of the last session that went there: what a trial asks for */
     char key[AC_KEY];
 };
@@ -300,7 +301,8 @@
     int n_groups;
     struct px_group **groups; /* sorted by name */
     int n_nodes;
-    struct px_fulls fulls; /* instances that accept fewer connections than this node's shares */
+    struct px_saturation_common
+        saturation; /* instances that accept fewer connections than this node's shares */
     struct ho_node *nodes; /* entry nodes with a lease, prepared by ho_prepare */
     int64_t configured_at; /* when the first document came into force */
     bool knew_nodes;       /* px_knows_nodes at the last update of the groups */
@@ -339,7 +341,8 @@
 };
 
 /* Counts the bytes of a connection to an instance or node in failure domain `domain`. */
-void px_meter(struct px_proxy *p, struct nt_conn *net, enum px_peer to, const char *domain);
+void px_meter(struct px_proxy *p, struct nt_conn *net, enum px_peer_kind to,
+              const char *domain);
 
 /* answer.c: answers to callers */
 void px_greet(struct px_session *s);
@@ -466,26 +469,28 @@
                                 bool seeks, int64_t now);
 
 /* neighbors.c: what is believed of the other nodes, and trials of them */
-enum { PX_PASSES_US = 5000000 }; /* who passed a session on lately probably does it again */
+enum {
+    PX_PASSED_ON_RECENTLY_US = 5000000
+}; /* who passed a session on lately probably does it again */
 
 enum nb_rank px_neighbor_rank(const struct px_proxy *p, const struct ho_node *node,
                               int64_t now);
 /* Whether it passed a session on lately. */
 bool px_neighbor_passes_on(const struct px_proxy *p, const struct ho_node *node, int64_t now);
 /* A relay names the node; px_neighbor_drop when it does not any more. */
-struct px_neighbor *px_neighbor_take(struct px_proxy *p, const struct ho_node *node);
-void px_neighbor_drop(struct px_neighbor *nb);
+struct px_neighbor *px_neighbor_ref(struct px_proxy *p, const struct ho_node *node);
+void px_neighbor_unref(struct px_neighbor *nb);
 /* Every tick. */
 void px_neighbors_tick(struct px_proxy *p, int64_t now);
 /* The list of nodes changed: those that are gone are forgotten. */
-void px_neighbors_changed(struct px_proxy *p);
-int px_neighbors_silent(const struct px_proxy *p);
+void px_forget_unlisted_neighbors(struct px_proxy *p);
+int px_count_silent_neighbors(const struct px_proxy *p);
 /* Whether any node passed a session on lately. */
-bool px_any_passes_on(const struct px_proxy *p, int64_t now);
+bool px_any_neighbor_passes_on(const struct px_proxy *p, int64_t now);
 
 /* holders.c: which nodes hold connections to which groups */
 /* The view, the document or the nodes changed. */
-void px_holders_changed(struct px_proxy *p);
+void px_update_holders(struct px_proxy *p);
 /* Whether it is known which other nodes there are, or has been waited for long enough. Until
  * then this node holds no group. */
 bool px_knows_nodes(const struct px_proxy *p);
@@ -497,9 +502,9 @@
 /* Whether this node is one of those at which the account's sessions meet. */
 bool px_serves_account(const struct px_session *s, struct px_group *g);
 /* The account's first holders in the group; NULL: the document doesn't list it. */
-const struct sp_place *px_place_of(struct px_group *g, const char *account);
+const struct sp_place *px_account_placement(struct px_group *g, const char *account);
 /* Whether this node has an open connection to the group's primary, as far as there is one. */
-bool px_reaches(const struct px_group *g);
+bool px_reaches_primary(const struct px_group *g);
 
 /* work.c: routing and retries of a statement */
 enum { PX_PARK_US = 20000 }; /* interval between two attempts to route a parked statement */
@@ -545,30 +550,30 @@
 /* pool.c: instances */
 struct px_inst *px_inst_new(struct px_group *g, const struct vw_instance *cfg);
 /* It left the view, or moved: its connections end, then it is freed. */
-void px_inst_gone(struct px_inst *in);
+void px_inst_remove(struct px_inst *in);
 /* Free it if it is gone and has no connection any more. */
-void px_inst_maybe_free(struct px_inst *in);
+void px_inst_free_if_removed(struct px_inst *in);
 /* An idle connection for the session, or its place among those that wait for one. */
-void px_inst_take(struct px_inst *in, struct px_session *s);
+void px_inst_submit(struct px_inst *in, struct px_session *s);
 /* Whether a connection of its account is idle there. */
-bool px_inst_ready(const struct px_inst *in, const struct px_session *s);
+bool px_inst_has_idle_conn(const struct px_inst *in, const struct px_session *s);
 /* The session waits no longer. */
-void px_inst_unwait(struct px_inst *in, struct px_session *s);
+void px_inst_dequeue(struct px_inst *in, struct px_session *s);
 /* Serve those that wait, as far as connections are idle. */
-void px_inst_pump(struct px_inst *in);
+void px_inst_serve_waiters(struct px_inst *in);
 /* Statements that are out there, without those whose answers are probably lost. */
 int px_inst_running(const struct px_inst *in);
 void px_inst_tick(struct px_inst *in, int64_t now);
 /* Whether a statement may go there: it is there as far as is known, and stays. */
 bool px_inst_usable(const struct px_inst *in, int64_t now);
 /* The node got a share: its first connection is opened before anybody waits for it. */
-void px_inst_want_first(struct px_inst *in, int64_t now);
+void px_inst_want_first_conn(struct px_inst *in, int64_t now);
 /* Statements find it without a share: ask for one, soon. */
-void px_inst_lacks(struct px_inst *in, int64_t now);
+void px_inst_request_share(struct px_inst *in, int64_t now);
 /* Whether one more connection may be opened. */
 bool px_inst_has_room(const struct px_inst *in, int64_t now);
 /* Tell the entry role that the primary does not answer, or refuses; now and then only. */
-void px_inst_suspect(struct px_inst *in, enum wr_health health);
+void px_inst_report_suspicion(struct px_inst *in, enum wr_health health);
 
 /* conn.c: connections to instances */
 void px_conn_open(struct px_inst *in, const char *account);
@@ -595,10 +600,10 @@
 /* groups.c: the view */
 struct px_group *px_group(const struct px_proxy *p, const char *name);
 /* The group that the session's route names, NULL: none, or no route was taken. */
-struct px_group *px_group_of(const struct px_session *s);
+struct px_group *px_session_group(const struct px_session *s);
 struct px_inst *px_inst(const struct px_proxy *p, struct sr_str id);
 /* The instance that serves the group's term, NULL: none is known to. */
-struct px_inst *px_primary(const struct px_group *g, int64_t now);
+struct px_inst *px_serving_primary(const struct px_group *g, int64_t now);
 /* What the primary's position was at a time since when a read may miss nothing. */
 bool px_age_floor(const struct px_group *g, int64_t max_age_us, int64_t now,
                   struct ps_pos *floor);
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -64,7 +64,7 @@
     if (!in->group->held || !px_has_accounts(in->p))
         return 0;
     for (const struct px_conn *c = in->conns; c; c = c->next)
-        k += !c->closing && now - c->used_at < KEEP_CONN_US;
+        k += !c->closing && now - c->last_used_at < KEEP_CONN_US;
     return k;
 }
 
@@ -78,12 +78,13 @@
      * statements exceeded their time limit within 2 s while 42 of 76 nodes were restarted in
      * turn. */
     int extra = in->group->held ? 1 + in->replaced : 0;
-    int want = in->cfg.draining ? 0 : (used > in->peak ? used : in->peak) + extra;
+    int want = in->cfg.draining ? 0 : (used > in->peak_demand ? used : in->peak_demand) + extra;
     in->replaced -= (in->replaced + 3) / 4;
     *out = (struct wr_share){sr_from(in->cfg.id), (uint32_t)held, (uint32_t)want};
-    in->peak -= (in->peak + 3) / 4; /* demand decays slowly, as a share takes time to get */
-    if (in->peak < in->busy + in->n_waiters)
-        in->peak = in->busy + in->n_waiters;
+    in->peak_demand -=
+        (in->peak_demand + 3) / 4; /* demand decays slowly, as a share takes time to get */
+    if (in->peak_demand < in->busy + in->n_waiters)
+        in->peak_demand = in->busy + in->n_waiters;
 }
 
 uint32_t px_wanted_shares(struct px_proxy *p, struct wr_share *out, uint32_t cap)
@@ -93,7 +94,7 @@
         for (int i = 0; i < p->groups[g]->cfg.n && k < cap; i++) {
             struct px_inst *in = p->groups[g]->inst[i];
             put_wanted_share(in, &out[k]);
-            if (sh_to_name(&in->named, out[k].held, out[k].want))
+            if (sh_to_name(&in->renewals_left, out[k].held, out[k].want))
                 k++;
         }
     }
@@ -113,7 +114,7 @@
     if (!in)
         return;
     in->share = connections;
-    px_inst_want_first(in, ck_now());
+    px_inst_want_first_conn(in, ck_now());
 }
 
 void px_lease_lost(struct px_proxy *p)
@@ -219,7 +220,7 @@
     sr_buf_printf(out, "ferry_session_%s_us_count %llu\n", name, (unsigned long long)h->count);
 }
 
-void px_meter(struct px_proxy *p, struct nt_conn *net, enum px_peer to, const char *domain)
+void px_meter(struct px_proxy *p, struct nt_conn *net, enum px_peer_kind to, const char *domain)
 {
     nt_meter(net, &p->traffic[to][rt_distance(p->cfg.domain, domain)]);
 }
@@ -334,7 +335,7 @@
                      const char *nodes[HO_MAX_HOLDERS])
 {
     struct px_group *g = px_group(p, group);
-    const struct sp_place *place = g ? px_place_of(g, account) : NULL;
+    const struct sp_place *place = g ? px_account_placement(g, account) : NULL;
     int n = place ? place->n : 0;
     for (int k = 0; k < n; k++)
         nodes[k] = p->nodes[g->holders[place->at[k]]].name;
@@ -391,7 +392,7 @@
                 {"relayed_total", p->c.relayed},
                 {"relayed_by_others_total", p->c.relayed_by_others},
                 {"passed_on_total", p->c.passed_on},
-                {"neighbors_silent", (uint64_t)px_neighbors_silent(p)},
+                {"neighbors_silent", (uint64_t)px_count_silent_neighbors(p)},
                 {"neighbor_trials_total", p->c.trials},
                 {"silent_told_total", p->c.silent_told},
                 {"cut_total", p->c.cut},
--- a/proxy/relay.c
+++ b/proxy/relay.c
@@ -103,7 +103,7 @@
         return true;
     if (g->held && px_has_accounts(s->p))
         return !px_serves_account(s, g);
-    return !g->held || (!g->first && !px_reaches(g));
+    return !g->held || (!g->connects_first && !px_reaches_primary(g));
 }
 
 /* ---- the connection to the serving node ---- */
@@ -113,7 +113,7 @@
 static void drop_tried(struct px_relay *r)
 {
     for (int k = 0; k < r->tried.n; k++)
-        px_neighbor_drop(r->tried.nb[k]);
+        px_neighbor_unref(r->tried.nb[k]);
     r->tried.n = 0;
 }
 
@@ -280,7 +280,7 @@
     p->c.relayed_by_others += r->via_non_holder;
     p->c.passed_on += r->s->relayed_to_us;
     if (r->via_non_holder)
-        r->nb->passed_at = ck_now();
+        r->nb->passed_on_at = ck_now();
     send_buffered(r);
 }
 
@@ -288,7 +288,7 @@
 {
     struct px_relay *r = ud;
     struct sr_str last;
-    nb_heard(&r->nb->b, ck_now());
+    nb_heard(&r->nb->status, ck_now());
     if (r->ending)
         return; /* the caller already got an answer for these requests */
     sr_buf_add(&r->in, data, len);
@@ -320,17 +320,17 @@
 {
     int64_t now = ck_now();
     if (r->via_non_holder)
-        nb_refused(&r->nb->b, NO_HOLDER_PAUSE_US, now);
+        nb_refused(&r->nb->status, NO_HOLDER_PAUSE_US, now);
     else if (!opened || r->greeting_timed_out)
-        nb_doubt(&r->nb->b, now);
+        nb_doubt(&r->nb->status, now);
     else
-        nb_refused(&r->nb->b, REFUSED_PAUSE_US, now);
+        nb_refused(&r->nb->status, REFUSED_PAUSE_US, now);
 }
 
 /* The connection was lost, and with it the session at the serving node. */
 static void on_lost(struct px_relay *r)
 {
-    nb_doubt(&r->nb->b, ck_now());
+    nb_doubt(&r->nb->status, ck_now());
     if (r->ending || !r->s->net || r->s->end_sent_at)
         return;
     if (r->has_pending) {
@@ -394,7 +394,7 @@
         return;
     }
     const struct ho_node *node = &p->nodes[to.node];
-    r->nb = px_neighbor_take(p, node);
+    r->nb = px_neighbor_ref(p, node);
     r->tried.nb[r->tried.n++] = r->nb;
     r->via_non_holder = to.passes_on;
     r->greeting_timed_out = false;
@@ -403,7 +403,7 @@
     r->in.len = 0;
     r->step_began = now;
     r->net = nt_connect_stream(p->loop, node->ip, node->port, &ops, r);
-    px_meter(p, r->net, PX_TO_NODE, node->domain);
+    px_meter(p, r->net, PX_PEER_NODE, node->domain);
 }
 
 /* ---- the caller's connection ---- */
@@ -449,7 +449,7 @@
         sr_buf_add(&s->in, data, len);
         return;
     }
-    if (r->greeted && r->nb->b.state == NB_SILENT && !r->has_pending) {
+    if (r->greeted && r->nb->status.state == NB_SILENT && !r->has_pending) {
         refuse_unsent(r, data, len);
         return;
     }
@@ -497,7 +497,7 @@
         if (px_pending_harmless(&r->pending) ||
             px_received_until(s->p) - r->pending_since > time_limit_us(s))
             fail_unanswered(r, true, PX_END_HOLDER_SILENT);
-    } else if (r->idle && now - r->nb->b.silent_at > px_stagger_us(s, STAGGER_CLOSE_US)) {
+    } else if (r->idle && now - r->nb->status.silent_at > px_stagger_us(s, STAGGER_CLOSE_US)) {
         begin_ending(r, PX_END_HOLDER_SILENT);
     }
 }
@@ -507,15 +507,15 @@
     if (r->ending || !r->s->net)
         return;
     if (r->has_pending)
-        nb_waits(&r->nb->b, r->pending_since, px_received_until(r->s->p));
-    if (r->nb->b.state == NB_SILENT)
+        nb_waits(&r->nb->status, r->pending_since, px_received_until(r->s->p));
+    if (r->nb->status.state == NB_SILENT)
         handle_silent_node(r, now);
 }
 
 static void on_greeting_timeout(struct px_relay *r, int64_t now)
 {
     struct px_proxy *p = r->s->p;
-    if (px_disconnected(p) && !px_any_passes_on(p, now))
+    if (px_disconnected(p) && !px_any_neighbor_passes_on(p, now))
         p->isolated_until = now + ISOLATED_US;
     r->greeting_timed_out = true;
     nt_close(r->net, true);
@@ -538,7 +538,7 @@
     }
     int64_t received_until = px_received_until(s->p);
     if (!r->via_non_holder)
-        nb_waits(&r->nb->b, r->step_began, received_until);
-    if (received_until - r->step_began > GREETING_TIMEOUT_US || r->nb->b.state == NB_SILENT)
+        nb_waits(&r->nb->status, r->step_began, received_until);
+    if (received_until - r->step_began > GREETING_TIMEOUT_US || r->nb->status.state == NB_SILENT)
         on_greeting_timeout(r, now);
 }
--- a/proxy/session.c
+++ b/proxy/session.c
@@ -273,12 +273,12 @@
  * relayed there. */
 static void moved_tick(struct px_session *s, int64_t now)
 {
-    const struct px_group *g = px_group_of(s);
+    const struct px_group *g = px_session_group(s);
     if (s->relay || !g || g->held || !is_idle(s))
         return;
     if (s->p->stopping && !s->relayed_to_us)
         return; /* the balancer would send the caller back here; stop_tick closes it */
-    if (now - g->let_go_at > px_stagger_us(s, STAGGER_CLOSE_US))
+    if (now - g->released_at > px_stagger_us(s, STAGGER_CLOSE_US))
         px_end_idle(s, PX_END_MOVED);
 }
 
--- a/proxy/targets.c
+++ b/proxy/targets.c
@@ -136,7 +136,7 @@
  * or the interval has passed. */
 static bool may_seek(struct px_proxy *p, bool seeks, int64_t now)
 {
-    if (seeks || px_any_passes_on(p, now))
+    if (seeks || px_any_neighbor_passes_on(p, now))
         return true;
     if (now - p->last_seek_at < SEEK_INTERVAL_US)
         return false;
