--- a/entry/entry.c
+++ b/entry/entry.c
@@ -139,7 +139,7 @@
 {
     const struct vw_view *v = &n->view;
     if (n->px) {
-        px_view(n->px, v);
+        px_set_view(n->px, v);
         return;
     }
     struct en_group **next = sr_alloc(sizeof(*next) * (size_t)v->n);
@@ -241,7 +241,7 @@
     struct en_node *n = ud;
     nt_timer_cancel(&n->tick);
     if (n->px)
-        px_log_end(n->px);
+        px_log_open_work(n->px);
     n->stopped(n->stopped_ud);
 }
 
--- a/entry/link.c
+++ b/entry/link.c
@@ -254,7 +254,7 @@
         if (!sr_copy(id, sizeof(id), s->shares[i].inst))
             continue;
         if (n->px)
-            px_share(n->px, s->shares[i].inst, (int)s->shares[i].held);
+            px_set_share(n->px, s->shares[i].inst, (int)s->shares[i].held);
         struct en_inst *in = en_inst(n, id);
         if (in)
             in->share = (int)s->shares[i].held;
@@ -291,7 +291,7 @@
     }
     ho_prepare(n->nodes, n->n_nodes);
     if (n->px)
-        px_nodes(n->px, n->nodes, n->n_nodes);
+        px_set_nodes(n->px, n->nodes, n->n_nodes);
     en_update_holders(n);
 }
 
@@ -311,7 +311,7 @@
     char id[VW_NAME];
     struct wr_msg m = {.type = WR_CHECKED, .check = *c};
     int64_t now = ck_now();
-    m.check.health = l->node->px ? px_health(l->node->px, c->inst) : WR_UNKNOWN;
+    m.check.health = l->node->px ? px_instance_health(l->node->px, c->inst) : WR_UNKNOWN;
     struct en_inst *in = sr_copy(id, sizeof(id), c->inst) ? en_inst(l->node, id) : NULL;
     if (in)
         m.check.health = health_by_watch(in, now);
--- a/proxy/answer.c
+++ b/proxy/answer.c
@@ -1,13 +1,15 @@
-/* What callers are told, and what is noted of it. */
+/* Answers to callers, with their counters and log lines. */
 #include "proxy/priv.h"
 
-enum { FAILURE_LINES_PER_S = 20 }; /* of the log; more are counted */
+/* Failure lines logged per second; further ones are counted. */
+enum { FAILURE_LINES_PER_S = 20 };
 
 static const struct ps_pos no_pos;
 
-/* ---- noting ---- */
+/* ---- counters and log ---- */
 
-/* A few lines a second, the rest counted: a bad hour must not fill the disk. */
+/* Limits failure lines to a few per second, so that a long failure does not fill the disk; the
+ * rest are counted. */
 static bool may_log(struct px_proxy *p)
 {
     int64_t now = ck_now();
@@ -23,8 +25,9 @@
     return false;
 }
 
-/* Instances of the group that lacked a position a moment ago: why the others are full. */
-static int behind_now(const struct px_group *g, int64_t now)
+/* The number of the group's instances that lacked a position a moment ago, which explains why
+ * the others are busy. */
+static int count_behind(const struct px_group *g, int64_t now)
 {
     int k = 0;
     for (int i = 0; g && i < g->cfg.n; i++)
@@ -47,7 +50,7 @@
              s->route.group, (unsigned long long)(g ? g->cfg.term : 0),
              (unsigned long long)p->catalog.version, px_leased(p), er_name(kind),
              s->arrived ? (long long)((ck_now() - s->arrived) / 1000) : 0, s->offers,
-             behind_now(g, ck_now()), g ? g->cfg.n : 0, detail);
+             count_behind(g, ck_now()), g ? g->cfg.n : 0, detail);
 }
 
 static void note_success(struct px_session *s)
@@ -59,8 +62,8 @@
 
 /* ---- sending ---- */
 
-/* Send what *b holds and free it. */
-static void send_all(struct px_session *s, struct sr_buf *b)
+/* Sends the content of *b and frees it. */
+static void send_and_free(struct px_session *s, struct sr_buf *b)
 {
     if (s->net)
         nt_send(s->net, b->p, b->len);
@@ -96,31 +99,31 @@
         s->p->cfg.codec->put(&b, &done);
     }
     put_ready(s, &b, c->has_pos, c->pos);
-    send_all(s, &b);
+    send_and_free(s, &b);
     s->idle_since = ck_now();
     px_session_resume(s);
 }
 
-static void tell_failure(struct px_session *s, enum er_kind kind, const char *detail)
+static void send_failure(struct px_session *s, enum er_kind kind, const char *detail)
 {
     struct sr_buf b = {0};
     note_failure(s, kind, detail);
     put_failure(s, &b, kind, detail);
     put_ready(s, &b, false, no_pos);
-    send_all(s, &b);
+    send_and_free(s, &b);
 }
 
 void px_refuse(struct px_session *s, enum er_kind kind, const char *detail)
 {
     px_end_work(s);
-    tell_failure(s, kind, detail);
+    send_failure(s, kind, detail);
     s->idle_since = ck_now();
     px_session_resume(s);
 }
 
 void px_refuse_relayed(struct px_session *s, enum er_kind kind, const char *detail)
 {
-    tell_failure(s, kind, detail);
+    send_failure(s, kind, detail);
 }
 
 void px_answer_local(struct px_session *s)
@@ -129,7 +132,7 @@
     struct px_msg done = {.kind = PX_DONE};
     s->p->cfg.codec->put(&b, &done);
     put_ready(s, &b, false, no_pos);
-    send_all(s, &b);
+    send_and_free(s, &b);
     s->idle_since = ck_now();
 }
 
@@ -137,12 +140,13 @@
 {
     struct sr_buf b = {0};
     put_ready(s, &b, false, no_pos);
-    send_all(s, &b);
+    send_and_free(s, &b);
 }
 
 void px_fail_disconnected(struct px_session *s)
 {
-    px_fail_and_close(s, ER_NO_LEASE, "this node is cut off; another may serve it, at once");
+    px_fail_and_close(s, ER_NO_LEASE,
+                      "this node is disconnected from control; retry at another node at once");
 }
 
 static const char *const end_names[PX_END_REASONS] = {
@@ -208,7 +212,7 @@
                  (unsigned long long)s->state.session, s->database,
                  (unsigned long long)s->p->catalog.version, er_name(kind), detail);
     put_failure(s, &b, kind, detail);
-    send_all(s, &b);
+    send_and_free(s, &b);
     if (s->net)
         px_close(s, PX_END_REFUSED, false);
 }
--- a/proxy/conn.c
+++ b/proxy/conn.c
@@ -71,7 +71,7 @@
                        .pos = s->floor};
     if (prepared) { /* the connection knows the statement by a name of the proxy */
         struct px_stmt st = s->stmt;
-        st.name = sr_from(px_name_on(&c->applied, prepared));
+        st.name = sr_from(px_prepared_name_on(&c->applied, prepared));
         c->inst->p->cfg.codec->put_text(&text, &st);
         m.text = (struct sr_str){text.p, text.len};
     }
--- a/proxy/pool.c
+++ b/proxy/pool.c
@@ -413,7 +413,7 @@
     return in->index == in->group->cfg.primary && px_primary_serves_alone(&v);
 }
 
-enum wr_health px_health(const struct px_proxy *p, struct sr_str id)
+enum wr_health px_instance_health(const struct px_proxy *p, struct sr_str id)
 {
     const struct px_inst *in = px_find_inst(p, id);
     int64_t now = ck_now();
--- a/proxy/statement.c
+++ b/proxy/statement.c
@@ -1,20 +1,21 @@
-/* What a caller's statement does to its session: what the proxy answers by itself, and what
- * goes on to an instance (work.c). */
+/* Effect of a caller's statement on its session: the proxy answers some statements itself and
+ * passes the others to an instance (work.c). */
 #include "proxy/priv.h"
 
-/* Refused before it was at work. */
+/* Refuses a statement that was not started. */
 static void refuse(struct px_session *s, enum er_kind kind, const char *detail)
 {
     s->arrived = ck_now();
     px_refuse(s, kind, detail);
 }
 
-static void malformed(struct px_session *s, const char *why)
+static void refuse_malformed(struct px_session *s, const char *why)
 {
     refuse(s, ER_BAD_INPUT, why);
 }
 
-/* What is in force for the database now; a transaction keeps what was when it began. */
+/* Takes the route that is in force for the database now; a transaction keeps the route that it
+ * began with. */
 static bool take_route(struct px_session *s)
 {
     const struct cg_route *r = cg_route(&s->p->catalog, sr_from(s->database));
@@ -25,17 +26,17 @@
         return false;
     }
     if (!px_identify(s, r)) {
-        refuse(s, ER_NO_ACCOUNT, "the key belongs to no account any more");
+        refuse(s, ER_NO_ACCOUNT, "the key belongs to no account anymore");
         return false;
     }
     s->route = *r;
     return true;
 }
 
-static void begin(struct px_session *s)
+static void begin_txn(struct px_session *s)
 {
     if (s->txn != PX_IDLE) {
-        malformed(s, "a transaction is open");
+        refuse_malformed(s, "a transaction is already open");
         return;
     }
     if (!take_route(s))
@@ -50,13 +51,13 @@
     s->txn = PX_IN_TXN;
     s->txn_read_only = s->stmt.read_only;
     s->txn_begun = s->txn_wrote = s->txn_rolled_back = false;
-    px_answer_local(s); /* it begins at an instance with its first statement */
+    px_answer_local(s); /* BEGIN is sent to an instance with the first statement */
 }
 
-static void rollback(struct px_session *s)
+static void rollback_txn(struct px_session *s)
 {
     if (s->txn == PX_IDLE) {
-        malformed(s, "no transaction is open");
+        refuse_malformed(s, "no transaction is open");
         return;
     }
     px_drop_txn(s);
@@ -64,35 +65,35 @@
     px_answer_local(s);
 }
 
-static void commit(struct px_session *s)
+static void commit_txn(struct px_session *s)
 {
     if (s->txn == PX_IDLE) {
-        malformed(s, "no transaction is open");
+        refuse_malformed(s, "no transaction is open");
         return;
     }
     s->writes = false;
     if (s->txn_rolled_back) {
         s->txn = PX_IDLE;
-        refuse(s, ER_ABORTED, "the transaction was rolled back before");
+        refuse(s, ER_ABORTED, "the transaction was already rolled back");
         return;
     }
     px_begin_work(s);
 }
 
-/* In a failed transaction only its end is taken. */
-static bool in_failed(struct px_session *s)
+/* Refuses a statement in a failed transaction, which accepts only its end. */
+static bool refuse_if_failed(struct px_session *s)
 {
     if (s->txn != PX_TXN_FAILED)
         return false;
     if (s->txn_rolled_back)
         refuse(s, ER_ABORTED, "the transaction was rolled back");
     else
-        malformed(s, "the transaction has failed; it can only be ended");
+        refuse_malformed(s, "the transaction has failed; only COMMIT and ROLLBACK are allowed");
     return true;
 }
 
-/* Whether a prepared statement writes was said when it was prepared. */
-static bool take_prepared(struct px_session *s)
+/* Takes from PREPARE whether the statement writes. */
+static bool find_prepared(struct px_session *s)
 {
     const struct px_prepared *p = px_find_prepared(&s->state, s->stmt.name);
     struct er_err err = {0};
@@ -107,42 +108,44 @@
     return false;
 }
 
-static void run(struct px_session *s)
+static void run_statement(struct px_session *s)
 {
     bool begins = s->txn == PX_IDLE;
-    if (in_failed(s) || (begins && !take_route(s)))
+    if (refuse_if_failed(s) || (begins && !take_route(s)))
         return;
     if (begins)
         px_permit_begin(s);
     s->writes = s->stmt.verb == PX_V_WRITE;
-    if (s->stmt.verb == PX_V_EXECUTE && !take_prepared(s))
+    if (s->stmt.verb == PX_V_EXECUTE && !find_prepared(s))
         return;
     px_begin_work(s);
 }
 
-static bool apply(struct px_state *to, const struct px_stmt *st, struct er_err *err)
+static bool apply_to_state(struct px_state *to, const struct px_stmt *st, struct er_err *err)
 {
     if (st->verb == PX_V_SET)
-        return px_set(to, st->name, st->value, err);
+        return px_set_value(to, st->name, st->value, err);
     if (st->verb == PX_V_PREPARE)
         return px_prepare(to, st->name, st->writes, st->value, err);
     return px_deallocate(to, st->name, err);
 }
 
-/* Values and prepared names are the session's own: connections get them when they need them. */
+/* Values and prepared statements belong to the session; connections get them when a statement
+ * needs them. */
 static void change_state(struct px_session *s)
 {
     struct er_err err = {0};
-    if (in_failed(s))
+    if (refuse_if_failed(s))
         return;
-    if (apply(&s->state, &s->stmt, &err))
+    if (apply_to_state(&s->state, &s->stmt, &err))
         px_answer_local(s);
     else
         refuse(s, err.kind, err.text);
 }
 
-/* The line is kept: the text goes to an instance as it came, perhaps twice. */
-static void keep(struct px_session *s, const struct px_msg *m)
+/* Keeps a copy of the request: its text is sent to an instance unchanged, perhaps more than
+ * once. */
+static void keep_request(struct px_session *s, const struct px_msg *m)
 {
     s->request.len = 0;
     sr_buf_add(&s->request, m->id.p, m->id.len);
@@ -153,24 +156,24 @@
 
 void px_statement(struct px_session *s, const struct px_msg *m)
 {
-    keep(s, m);
+    keep_request(s, m);
     s->p->c.statements_served += s->relayed_to_us;
     s->p->cfg.codec->parse_text(s->text, &s->stmt);
     s->offers = 0;
     switch (s->stmt.verb) {
     case PX_V_BEGIN:
-        begin(s);
+        begin_txn(s);
         break;
     case PX_V_COMMIT:
-        commit(s);
+        commit_txn(s);
         break;
     case PX_V_ROLLBACK:
-        rollback(s);
+        rollback_txn(s);
         break;
     case PX_V_READ:
     case PX_V_WRITE:
     case PX_V_EXECUTE:
-        run(s);
+        run_statement(s);
         break;
     case PX_V_SET:
     case PX_V_PREPARE:
@@ -178,6 +181,6 @@
         change_state(s);
         break;
     default:
-        malformed(s, "not a statement of this interface");
+        refuse_malformed(s, "unknown statement");
     }
 }
--- a/tests/unit/test_proxy.c
+++ b/tests/unit/test_proxy.c
@@ -199,11 +199,11 @@
     struct px_applied conn = {0};
     struct er_err err = {0};
     enum px_verb v[8];
-    CU_ASSERT_TRUE(px_set(&one, SR_LIT("a"), SR_LIT("1"), &err));
-    CU_ASSERT_TRUE(px_set(&one, SR_LIT("b"), SR_LIT("2"), &err));
+    CU_ASSERT_TRUE(px_set_value(&one, SR_LIT("a"), SR_LIT("1"), &err));
+    CU_ASSERT_TRUE(px_set_value(&one, SR_LIT("b"), SR_LIT("2"), &err));
     CU_ASSERT_EQUAL(setup(&one, &conn, NULL, v), 2);
     CU_ASSERT_EQUAL(setup(&one, &conn, NULL, v), 0);
-    CU_ASSERT_TRUE(px_set(&one, SR_LIT("a"), SR_LIT("3"), &err));
+    CU_ASSERT_TRUE(px_set_value(&one, SR_LIT("a"), SR_LIT("3"), &err));
     CU_ASSERT_EQUAL(setup(&one, &conn, NULL, v), 1); /* only what changed */
     CU_ASSERT_EQUAL(setup(&two, &conn, NULL, v), 1);
     CU_ASSERT_EQUAL(v[0], PX_V_DISCARD); /* nothing of another session's stays */
@@ -227,7 +227,7 @@
     const struct px_prepared *p2 = px_find_prepared(&two, SR_LIT("s"));
     CU_ASSERT_EQUAL(setup(&one, &conn, p1, v), 1);
     CU_ASSERT_EQUAL(setup(&two, &conn, p2, v), 1);
-    CU_ASSERT_STRING_NOT_EQUAL(px_name_on(&conn, p1), px_name_on(&conn, p2));
+    CU_ASSERT_STRING_NOT_EQUAL(px_prepared_name_on(&conn, p1), px_prepared_name_on(&conn, p2));
     CU_ASSERT_EQUAL(setup(&two, &conn, px_find_prepared(&two, SR_LIT("t")), v), 0);
     /* The same name, another shape: the old one is not run. */
     CU_ASSERT_TRUE(px_prepare(&one, SR_LIT("s"), false, SR_LIT("q1"), &err));
@@ -247,18 +247,18 @@
     struct er_err err = {0};
     enum px_verb v[8];
     char shape[16];
-    for (int i = 0; i <= PX_MAX_ON_CONN; i++) {
+    for (int i = 0; i <= PX_MAX_PREPARED_ON_CONN; i++) {
         snprintf(shape, sizeof(shape), "q%d", i);
         CU_ASSERT_TRUE(px_prepare(&s, SR_LIT("s"), false, sr_from(shape), &err));
         int n = setup(&s, &conn, px_find_prepared(&s, SR_LIT("s")), v);
-        CU_ASSERT_EQUAL(n, i < PX_MAX_ON_CONN ? 1 : 2);
+        CU_ASSERT_EQUAL(n, i < PX_MAX_PREPARED_ON_CONN ? 1 : 2);
     }
     CU_ASSERT_EQUAL(v[0], PX_V_DISCARD);
     for (int i = 0; i < PX_MAX_VALUES; i++) {
         snprintf(shape, sizeof(shape), "v%d", i);
-        CU_ASSERT_TRUE(px_set(&s, sr_from(shape), SR_LIT("x"), &err));
+        CU_ASSERT_TRUE(px_set_value(&s, sr_from(shape), SR_LIT("x"), &err));
     }
-    CU_ASSERT_FALSE(px_set(&s, SR_LIT("more"), SR_LIT("x"), &err));
+    CU_ASSERT_FALSE(px_set_value(&s, SR_LIT("more"), SR_LIT("x"), &err));
     CU_ASSERT_EQUAL(err.kind, ER_TOO_LARGE);
     px_state_free(&s);
     px_applied_free(&conn);
