--- a/bench/decisions.c
+++ b/bench/decisions.c
@@ -28,11 +28,11 @@
     g.starts[0] = (struct ps_start){1, 0};
     for (int i = 0; i < 3; i++)
         g.inst[i] = (struct rt_inst){.usable = true, .limit = 4, .applied = {1, 1000}};
-    for (int i = 0; i < RT_SAMPLES; i++)
-        rt_primary_at(&g, CK_MS(25) * i, (struct ps_pos){1, (uint64_t)i});
+    for (int i = 0; i < RT_MAX_SAMPLES; i++)
+        rt_record_primary_pos(&g, CK_MS(25) * i, (struct ps_pos){1, (uint64_t)i});
     for (int i = 0; i < n; i++) {
         struct rt_query q = {true, {1, 900}, CK_MS(500), CK_MS(10)};
-        keep += (uint64_t)rt_read(&g, &q, 0, CK_MS(25) * RT_SAMPLES).inst;
+        keep += (uint64_t)rt_choose_for_read(&g, &q, 0, CK_MS(25) * RT_MAX_SAMPLES).inst;
     }
 }
 
@@ -66,8 +66,8 @@
 
 static void lease(int n)
 {
-    static struct ls_giver g;
-    ls_giver_begin(&g, CK_SEC(2), 0, true);
+    static struct ls_grantor g;
+    ls_grantor_begin(&g, CK_SEC(2), 0, true);
     for (int i = 0; i < 460; i++)
         ls_grant(&g, (uint64_t)i + 1, INT64_MAX, 0);
     for (int i = 0; i < n; i++)
@@ -83,7 +83,7 @@
         uint64_t node = (uint64_t)(i % 12) + 1;
         sh_report(&t, "i", node, 1, i % 5, UINT64_MAX - 1, CK_SEC(100), 0);
         keep += sh_balance(&t, "i", 0);
-        keep += (uint64_t)sh_tell(&t, "i", node, 1);
+        keep += (uint64_t)sh_target_to_send(&t, "i", node, 1);
     }
 }
 
@@ -105,7 +105,7 @@
         uint64_t node = (uint64_t)(i % HOLDERS) + 1;
         snprintf(id, sizeof(id), "db%d", i * 7 % INSTANCES);
         keep += sh_report(&t, id, node, 1, 1, UINT64_MAX - 1, CK_SEC(100), 0);
-        keep += sh_untold(&t, id, node);
+        keep += sh_has_unsent_target(&t, id, node);
     }
 }
 
@@ -141,7 +141,7 @@
     for (int i = 0; i < n; i++) {
         int64_t now = CK_MS(5) * i;
         pr_probed(&p, "a", 1, "d1", PR_UP, now);
-        pr_said(&p, "a", true, 0, 0, (struct ps_pos){0, 0}, now);
+        pr_set_status(&p, "a", true, 0, 0, (struct ps_pos){0, 0}, now);
         pr_tick(&p, &g, true, now, &a);
         keep += (uint64_t)a.n;
     }
@@ -275,10 +275,10 @@
 static void permit_of_16(int n)
 {
     enum { NODES = 16 };
-    static struct lm_giver g;
+    static struct lm_allocator g;
     struct lm_tolerance t = {5, 0.1, 20};
     struct lm_report r = {.want = 1};
-    struct lm_answer a;
+    struct lm_grant a;
     int64_t now = CK_SEC(10);
     lm_begin(&g, &t, true, now);
     lm_set(&g, "account", 1000, 1000, now);
@@ -286,7 +286,7 @@
         uint64_t node = (uint64_t)(i % NODES) + 1;
         now += 1000;
         lm_renewed(&g, node, true, now);
-        lm_ask(&g, "account", node, &r, (uint64_t)i, (uint64_t)i + 1, now, &a);
+        lm_handle_report(&g, "account", node, &r, (uint64_t)i, (uint64_t)i + 1, now, &a);
         keep += (uint64_t)a.given;
     }
 }
--- a/control/agree.c
+++ b/control/consensus.c
@@ -1,4 +1,5 @@
-/* The agreement core's actions: the disk, other voters, and the view. */
+/* The replicated log's callbacks (messages to other voters, writes to disk, committed entries)
+ * and the view that the committed changes build. */
 #include <stdlib.h>
 
 #include "control/control.h"
@@ -6,11 +7,12 @@
 #include "misc/pack.h"
 
 enum {
-    /* The log is replaced by a snapshot once it holds so many times its bytes: a restart then
-     * applies a few documents at most, and a snapshot is written for that many changes. */
-    SNAPSHOT_TIMES = 3,
-    SNAPSHOT_LEAST_BYTES = 64 * 1024, /* a shorter log is applied within some milliseconds */
-    MAX_TEXT = 16 << 20,              /* bytes of an entry or a snapshot, inflated */
+    /* The log is replaced by a snapshot when it has this many times the snapshot's bytes: a
+     * restart then applies a few documents at most, and a snapshot is written only once for
+     * many changes. */
+    SNAPSHOT_LOG_FACTOR = 3,
+    SNAPSHOT_MIN_BYTES = 64 * 1024, /* a shorter log is applied in milliseconds */
+    MAX_TEXT_BYTES = 16 << 20,      /* of an entry or a snapshot, uncompressed */
 };
 
 static void on_send(void *ud, const struct qr_msg *m)
@@ -27,30 +29,30 @@
 
 /* ---- the history of changes ---- */
 
-static void remember(struct ct_node *n, uint64_t index, enum vw_change_kind kind,
-                     const char *text, uint32_t len)
+static void history_add(struct ct_node *n, uint64_t index, enum vw_change_kind kind,
+                        const char *text, uint32_t len)
 {
-    struct ct_past *p = &n->past[n->n_past % CT_HISTORY];
-    if (n->n_past >= CT_HISTORY)
-        n->past_floor = p->index;
+    struct ct_past_change *p = &n->history[n->n_history % CT_HISTORY_CHANGES];
+    if (n->n_history >= CT_HISTORY_CHANGES)
+        n->history_floor = p->index;
     free(p->text);
     p->text = strndup(text, len);
     p->index = index;
     p->document = kind == VW_CH_DOCUMENT;
-    n->n_past++;
+    n->n_history++;
 }
 
-static void forget_all(struct ct_node *n, uint64_t floor)
+static void history_clear(struct ct_node *n, uint64_t floor)
 {
-    for (int i = 0; i < CT_HISTORY; i++) {
-        free(n->past[i].text);
-        n->past[i] = (struct ct_past){0};
+    for (int i = 0; i < CT_HISTORY_CHANGES; i++) {
+        free(n->history[i].text);
+        n->history[i] = (struct ct_past_change){0};
     }
-    n->n_past = 0;
-    n->past_floor = floor;
+    n->n_history = 0;
+    n->history_floor = floor;
 }
 
-static char *whole_view(const struct ct_node *n)
+static char *view_text(const struct ct_node *n)
 {
     json_t *j = vw_view_json(&n->view);
     char *text = json_dumps(j, JSON_COMPACT);
@@ -58,23 +60,23 @@
     return text;
 }
 
-/* Number of the oldest change that is remembered; n->n_past if none is. */
-static uint64_t oldest_past(const struct ct_node *n)
+/* Number of the oldest change that is kept; n->n_history if none is. */
+static uint64_t history_oldest(const struct ct_node *n)
 {
-    return n->n_past > CT_HISTORY ? n->n_past - CT_HISTORY : 0;
+    return n->n_history > CT_HISTORY_CHANGES ? n->n_history - CT_HISTORY_CHANGES : 0;
 }
 
-static const struct ct_past *past_at(const struct ct_node *n, uint64_t k)
+static const struct ct_past_change *history_at(const struct ct_node *n, uint64_t k)
 {
-    return &n->past[k % CT_HISTORY];
+    return &n->history[k % CT_HISTORY_CHANGES];
 }
 
-/* Index of the newest remembered change that is a document; 0 none. */
+/* Log index of the newest kept change that is a configuration document; 0: none. */
 static uint64_t newest_document(const struct ct_node *n)
 {
-    uint64_t oldest = oldest_past(n);
-    for (uint64_t k = n->n_past; k > oldest; k--) {
-        const struct ct_past *p = past_at(n, k - 1);
+    uint64_t oldest = history_oldest(n);
+    for (uint64_t k = n->n_history; k > oldest; k--) {
+        const struct ct_past_change *p = history_at(n, k - 1);
         if (p->document)
             return p->index;
     }
@@ -83,7 +85,7 @@
 
 bool ct_needs_whole_view(const struct ct_node *n, uint64_t from)
 {
-    return from == 0 || from < n->past_floor;
+    return from == 0 || from < n->history_floor;
 }
 
 char *ct_changes_since(struct ct_node *n, uint64_t from, uint64_t *from_out)
@@ -91,17 +93,17 @@
     *from_out = from;
     if (ct_needs_whole_view(n, from)) {
         *from_out = 0;
-        return whole_view(n);
+        return view_text(n);
     }
     struct sr_buf b = {0};
-    uint64_t oldest = oldest_past(n), newest = newest_document(n), k = n->n_past;
-    while (k > oldest && past_at(n, k - 1)->index > from)
+    uint64_t oldest = history_oldest(n), newest = newest_document(n), k = n->n_history;
+    while (k > oldest && history_at(n, k - 1)->index > from)
         k--;
     sr_buf_add(&b, "[", 1);
-    for (; k < n->n_past; k++) {
-        const struct ct_past *p = past_at(n, k);
+    for (; k < n->n_history; k++) {
+        const struct ct_past_change *p = history_at(n, k);
         if (p->document && p->index < newest)
-            continue; /* a document replaces the one before as a whole */
+            continue; /* the newest document replaces all earlier ones as a whole */
         sr_buf_printf(&b, "%s[%llu,%s]", b.len > 1 ? "," : "", (unsigned long long)p->index,
                       p->text);
     }
@@ -111,7 +113,7 @@
 
 /* ---- applying ---- */
 
-static void note_change(struct ct_node *n, const struct vw_change *ch)
+static void add_to_timeline(struct ct_node *n, const struct vw_change *ch)
 {
     static const enum tl_kind kinds[VW_CH_COUNT] = {
         [VW_CH_GROUP] = TL_CHANGE,   [VW_CH_REPLACE] = TL_REPLACE, [VW_CH_HAND] = TL_REPLACE,
@@ -127,15 +129,15 @@
                "%s %s", vw_change_name(ch->kind), ch->instance);
 }
 
-/* An entry's or a snapshot's text, and what it says; NULL if it can't be read. */
-static json_t *read_text(const char *data, uint32_t len, struct sr_buf *text,
-                         struct er_err *err)
+/* Unpacks an entry or a snapshot into `text` and parses it; NULL with *err on failure. */
+static json_t *parse_text(const char *data, uint32_t len, struct sr_buf *text,
+                          struct er_err *err)
 {
-    if (!pk_unpack((struct sr_str){data, len}, MAX_TEXT, text, err))
+    if (!pk_unpack((struct sr_str){data, len}, MAX_TEXT_BYTES, text, err))
         return NULL;
     json_t *j = json_loadb(text->p ? text->p : "", text->len, 0, NULL);
     if (!j)
-        er_set(err, ER_CORRUPT, "%zu bytes are no JSON", text->len);
+        er_set(err, ER_CORRUPT, "%zu bytes are not valid JSON", text->len);
     return j;
 }
 
@@ -144,30 +146,31 @@
     struct vw_change ch;
     struct er_err err = {0};
     struct sr_buf text = {0};
-    json_t *j = read_text(data, len, &text, &err);
+    json_t *j = parse_text(data, len, &text, &err);
     bool ok = j && vw_change_parse(j, &ch, &err);
     if (!ok) {
-        FL_ERR(&n->log, "entry %llu is no change: %s", (unsigned long long)index, err.text);
+        FL_ERR(&n->log, "entry %llu is not a valid change: %s", (unsigned long long)index,
+               err.text);
         goto done;
     }
-    n->c.applied++;
+    n->counters.applied++;
     n->applied_bytes += text.len;
     if (vw_apply(&n->view, index, &ch, &err)) {
-        remember(n, index, ch.kind, text.p, (uint32_t)text.len);
-        note_change(n, &ch);
-        n->document_due = n->document_due || ch.kind == VW_CH_DOCUMENT;
+        history_add(n, index, ch.kind, text.p, (uint32_t)text.len);
+        add_to_timeline(n, &ch);
+        n->document_pending = n->document_pending || ch.kind == VW_CH_DOCUMENT;
         ct_group_sync(n, ch.kind == VW_CH_GROUP ? ch.def.name : ch.group);
         if (n->leading) {
-            if (!n->force_gen) {
-                n->force_gen = index;
-                n->force_since = ck_now();
+            if (!n->measured_generation) {
+                n->measured_generation = index;
+                n->measured_since = ck_now();
             }
             ct_view_changed(n, ch.kind);
-            ct_groups_soon(n);
+            ct_schedule_group_ticks(n);
         }
     } else {
-        n->c.refused_changes++;
-        FL_VERBOSE(&n->log, "change %llu (%s) does not fit: %s", (unsigned long long)index,
+        n->counters.refused_changes++;
+        FL_VERBOSE(&n->log, "change %llu (%s) was refused: %s", (unsigned long long)index,
                    vw_change_name(ch.kind), err.text);
     }
     ct_ops_applied(n, &ch, &err);
@@ -185,16 +188,16 @@
         const struct qr_members *m = (const struct qr_members *)e->data;
         tl_add(n->tl, TL_MEMBERS, "", e->term, "%u members", m->n);
     }
-    ct_orders_applied(n, e);
+    ct_commit_waits_applied(n, e);
 }
 
 void ct_restore_view(struct ct_node *n, const char *data, uint32_t len)
 {
     struct er_err err = {0};
     struct sr_buf text = {0};
-    json_t *j = read_text(data, len, &text, &err);
+    json_t *j = parse_text(data, len, &text, &err);
     if (!j || !vw_view_parse(j, &n->view, &err))
-        FL_ERR(&n->log, "snapshot: %s", err.text);
+        FL_ERR(&n->log, "can't load the snapshot: %s", err.text);
     n->snapshot_bytes = text.len;
     json_decref(j);
     sr_buf_free(&text);
@@ -204,11 +207,11 @@
 {
     struct ct_node *n = ud;
     ct_restore_view(n, data, len);
-    forget_all(n, n->view.generation);
+    history_clear(n, n->view.generation);
     n->applied_bytes = 0;
-    ct_document_changed(n);
+    ct_load_document(n);
     ct_groups_sync(n);
-    FL_INFO(&n->log, "restored from a snapshot up to %llu", (unsigned long long)index);
+    FL_INFO(&n->log, "restored a snapshot up to entry %llu", (unsigned long long)index);
 }
 
 static void on_role(void *ud)
@@ -218,31 +221,33 @@
     if (leads == n->was_leader)
         return;
     n->was_leader = leads;
-    n->leading = false; /* until a quorum vouches and this term's first entry is applied */
+    /* A new leader begins when a quorum has confirmed it and its term's first entry is applied.
+     */
+    n->leading = false;
     if (!leads)
-        ct_orders_lost(n);
+        ct_commit_waits_abort(n);
     tl_add(n->tl, leads ? TL_LEADER : TL_DEPOSED, "", qr_term(n->q),
-           leads ? "elected in term %llu" : "no longer leads, term %llu",
+           leads ? "elected leader in term %llu" : "no longer leader, term %llu",
            (unsigned long long)qr_term(n->q));
-    FL_INFO(&n->log, leads ? "leads term %llu" : "does not lead any more, term %llu",
+    FL_INFO(&n->log, leads ? "leads term %llu" : "no longer leads, term %llu",
             (unsigned long long)qr_term(n->q));
 }
 
-const struct qr_sink ct_sink = {on_send, on_persist, on_apply, on_restore, on_role};
+const struct qr_sink ct_quorum_sink = {on_send, on_persist, on_apply, on_restore, on_role};
 
 /* ---- proposing ---- */
 
 bool ct_propose(struct ct_node *n, const struct vw_change *ch, uint64_t *index,
                 struct er_err *err)
 {
-    if (!ct_vouched(n))
+    if (!ct_quorum_confirmed(n))
         return er_set(err, qr_role(n->q) == QR_LEADER ? ER_NO_QUORUM : ER_NOT_LEADER,
-                      "this node can't change the configuration now");
-    return ct_propose_unvouched(n, ch, index, err);
+                      "this node is not a confirmed leader now");
+    return ct_propose_unconfirmed(n, ch, index, err);
 }
 
-bool ct_propose_unvouched(struct ct_node *n, const struct vw_change *ch, uint64_t *index,
-                          struct er_err *err)
+bool ct_propose_unconfirmed(struct ct_node *n, const struct vw_change *ch, uint64_t *index,
+                            struct er_err *err)
 {
     uint64_t at;
     if (!vw_check(&n->view, ch, err))
@@ -250,13 +255,13 @@
     json_t *j = vw_change_json(ch);
     char *s = json_dumps(j, JSON_COMPACT);
     size_t len = strlen(s);
-    struct vw_change back;
-    /* What can't be read back would be committed and then applied nowhere. */
-    bool readable = vw_change_parse(j, &back, err);
+    struct vw_change parsed;
+    /* A change that can't be parsed would be committed and then applied by no node. */
+    bool readable = vw_change_parse(j, &parsed, err);
     json_decref(j);
     bool fits = len <= (ch->kind == VW_CH_DOCUMENT ? QR_MAX_ENTRY : VW_CHANGE_MAX);
     if (!fits)
-        er_set(err, ER_TOO_LARGE, "a change of %zu bytes", len);
+        er_set(err, ER_TOO_LARGE, "a change of %zu bytes is too large", len);
     struct sr_buf packed = {0};
     if (readable && fits)
         pk_pack((struct sr_str){s, len}, &packed);
@@ -264,21 +269,22 @@
               qr_propose(n->q, packed.p, (uint32_t)packed.len, ck_now(), &at, err);
     sr_buf_free(&packed);
     free(s);
-    n->c.proposals += ok;
+    n->counters.proposals += ok;
     if (ok && index)
         *index = at;
     return ok;
 }
 
-/* What a restart has to apply before this node can lead: many entries, or large ones. */
+/* Whether the log has so many entries or bytes that applying them would delay a restarted node
+ * too long before it can lead. */
 static bool log_is_long(const struct ct_node *n)
 {
     uint64_t commit = qr_commit(n->q), first = qr_first(n->q);
     if (commit < first)
         return false;
-    uint64_t bytes = n->snapshot_bytes * SNAPSHOT_TIMES;
-    if (bytes < SNAPSHOT_LEAST_BYTES)
-        bytes = SNAPSHOT_LEAST_BYTES;
+    uint64_t bytes = n->snapshot_bytes * SNAPSHOT_LOG_FACTOR;
+    if (bytes < SNAPSHOT_MIN_BYTES)
+        bytes = SNAPSHOT_MIN_BYTES;
     return commit - first >= (uint64_t)n->s->snapshot_entries || n->applied_bytes > bytes;
 }
 
--- a/control/control.c
+++ b/control/control.c
@@ -1,3 +1,4 @@
+/* Creates and stops the control role, runs its periodic work, and starts a new leader. */
 #include "control/control.h"
 
 #include <stdlib.h>
@@ -9,20 +10,20 @@
 
 enum {
     TICK_US = 5000,
-    STOP_US = 1000000,
-    /* The platform's instances drop a connection whose far end is dark after 3 s (its pages).
-     */
-    OUTSIDE_FORGET_US = 3000000,
+    STOP_TIMEOUT_US = 1000000,
+    /* The platform's instances close a connection after its peer has been unreachable for 3 s
+     * (documented by the platform). */
+    PLATFORM_FORGET_US = 3000000,
 };
 
-bool ct_vouched(const struct ct_node *n)
+bool ct_quorum_confirmed(const struct ct_node *n)
 {
-    return !n->failed && ck_now() < qr_vouched_until(n->q);
+    return !n->disk_failed && ck_now() < qr_sole_leader_until(n->q);
 }
 
 bool ct_in_force(const struct ct_node *n, uint64_t generation)
 {
-    return ls_all_have(&n->giver, generation, ck_now());
+    return ls_all_applied(&n->leases, generation, ck_now());
 }
 
 const char *ct_member_name(const struct ct_node *n, uint64_t id)
@@ -35,7 +36,7 @@
     return "";
 }
 
-/* ---- beginning to lead ---- */
+/* ---- start of a leader's term ---- */
 
 static void propose_groups(struct ct_node *n)
 {
@@ -50,60 +51,62 @@
     }
 }
 
-static void begin(struct ct_node *n, int64_t now)
+static void begin_leading(struct ct_node *n, int64_t now)
 {
     bool first = n->view.generation == 0;
     n->leading = true;
-    n->leading_since = n->joined_at = now;
+    n->leading_since = n->node_joined_at = now;
     n->step_index = 0;
-    n->force_gen = 0;
+    n->measured_generation = 0;
     n->in_force_since = 0;
-    n->news = (struct vp_news){0};
+    n->unsent_changes = (struct vp_batch){0};
     n->pace = (struct vp_pace){0};
     vp_tick(&n->pace, 0, 0, now);
-    ls_giver_begin(&n->giver, CK_MS(n->s->lease_ms), now, first);
-    /* Instances that count their connections themselves refuse one too many, at the cost of a
-     * try: a new leader need not wait for its predecessor's shares. */
-    bool waits = !first && !n->outside;
-    sh_begin(&n->shares, waits ? now + CK_MS(n->s->lease_ms) * 11 / 10 : now);
+    ls_grantor_begin(&n->leases, CK_MS(n->s->lease_ms), now, first);
+    /* Instances of the platform limit their connections themselves and refuse any above the
+     * limit, which costs the node one retry: a new leader need not wait until the shares that
+     * its predecessor assigned have expired. */
+    bool await_shares = !first && !n->platform;
+    sh_begin(&n->shares, await_shares ? now + CK_MS(n->s->lease_ms) * 11 / 10 : now);
     ct_limits_begin(n, first, now);
-    n->shares.forget_us = n->outside ? OUTSIDE_FORGET_US : 0;
+    n->shares.forget_us = n->platform ? PLATFORM_FORGET_US : 0;
     ct_watch_begin(n);
     ct_groups_sync(n);
     for (struct ct_conn *c = n->conns; c; c = c->next) {
-        c->sent_gen = 0;
-        c->shares_told = false;
-        c->knows_permits = false;
-        c->nodes_known = false;
-        c->turn = (struct tu_turn){0};
-        ct_say_leading(c);
+        c->sent_generation = 0;
+        c->shares_sent = false;
+        c->reported_permits = false;
+        c->reported_nodes = false;
+        c->pending_view = (struct pv_pending_view){0};
+        ct_announce_leader(c);
     }
-    FL_INFO(&n->log, "a quorum vouches for term %llu, generation %llu",
+    FL_INFO(&n->log, "a quorum confirmed this leader in term %llu, generation %llu",
             (unsigned long long)qr_term(n->q), (unsigned long long)n->view.generation);
     if (first)
         propose_groups(n);
 }
 
-static void force_tick(struct ct_node *n, int64_t now)
+static void measure_time_to_force(struct ct_node *n, int64_t now)
 {
-    if (!n->leading || !n->force_gen || !ct_in_force(n, n->force_gen))
+    if (!n->leading || !n->measured_generation || !ct_in_force(n, n->measured_generation))
         return;
-    hi_add(&n->force, now - n->force_since);
-    n->force_gen = 0;
+    hi_add(&n->time_to_force, now - n->measured_since);
+    n->measured_generation = 0;
 }
 
-/* ---- time, disk, stopping ---- */
+/* ---- ticks, disk, stopping ---- */
 
-static void end(struct ct_node *n, bool failed)
+static void finish_stop(struct ct_node *n, bool failed)
 {
-    nt_timer_cancel(&n->tick);
-    nt_timer_cancel(&n->soon);
+    nt_timer_cancel(&n->tick_timer);
+    nt_timer_cancel(&n->group_tick_timer);
     n->stopped(n->stopped_ud, failed);
 }
 
-/* A voter whose disk has no room stays: it acknowledges and votes for nothing that it can't
- * keep, so others decide without it, and it goes on by itself once there is room. */
-static void note_room(struct ct_node *n)
+/* A voter whose disk is full keeps running: it acknowledges no entry and grants no vote that it
+ * can't store, so the other voters decide without it. It continues by itself when there is
+ * space again. */
+static void check_disk_space(struct ct_node *n)
 {
     struct er_err err = {0};
     bool full = dk_full(n->disk, &err);
@@ -114,7 +117,7 @@
         tl_add(n->tl, TL_DISK, "", 0, "full: %.100s", err.text);
         FL_EVENT(&n->log, LG_ERR, "disk_full", "folder=%s why=%s", n->s->data, err.text);
     } else {
-        tl_add(n->tl, TL_DISK, "", 0, "has room again");
+        tl_add(n->tl, TL_DISK, "", 0, "has space again");
         FL_EVENT(&n->log, LG_INFO, "disk_has_room", "folder=%s", n->s->data);
     }
 }
@@ -123,19 +126,19 @@
 {
     struct ct_node *n = ud;
     struct er_err err = {0};
-    if (n->failed)
+    if (n->disk_failed)
         return;
     if (dk_failed(n->disk, &err)) {
-        n->failed = true;
+        n->disk_failed = true;
         tl_add(n->tl, TL_DISK, "", 0, "%.100s", err.text);
         FL_FATAL(&n->log,
                  "%s; this voter stops: free or replace the disk, then start it again (its "
-                 "folder is good up to the last sync) or replace it",
+                 "data is intact up to the last sync) or replace it",
                  err.text);
-        end(n, true);
+        finish_stop(n, true);
         return;
     }
-    note_room(n);
+    check_disk_space(n);
     qr_persisted(n->q, dk_done(n->disk), ck_now());
 }
 
@@ -150,56 +153,56 @@
     struct ct_node *n = ud;
     int64_t now = ck_now();
     on_disk(n);
-    if (n->failed)
+    if (n->disk_failed)
         return;
     qr_tick(n->q, now, nt_heard_until(n->loop));
-    if (n->document_due)
-        ct_document_changed(n);
-    if (!n->leading && ct_vouched(n))
-        begin(n, now);
+    if (n->document_pending)
+        ct_load_document(n);
+    if (!n->leading && ct_quorum_confirmed(n))
+        begin_leading(n, now);
     ct_peers_tick(n, now);
     ct_watch_tick(n, now);
-    force_tick(n, now);
+    measure_time_to_force(n, now);
     ct_nodes_tick(n, now);
     ct_intents_tick(n, now);
     ct_platform_tick(n, now);
     ct_members_tick(n, now);
-    ct_orders_tick(n, now);
+    ct_commit_waits_tick(n, now);
     ct_ops_tick(n, now);
-    ct_tell_traffic(n, now);
+    ct_log_traffic(n, now);
     ct_compact_tick(n);
     if (n->stopping && (qr_role(n->q) != QR_LEADER || now > n->stop_by)) {
-        end(n, false);
+        finish_stop(n, false);
         return;
     }
     if (n->stopping || n->disk_full)
-        qr_hand_over(n->q, now);
-    nt_timer_set(n->loop, &n->tick, TICK_US, tick, n);
+        qr_transfer_leadership(n->q, now);
+    nt_timer_set(n->loop, &n->tick_timer, TICK_US, tick, n);
 }
 
 void ct_stop(struct ct_node *n)
 {
     n->stopping = true;
-    n->stop_by = ck_now() + STOP_US;
+    n->stop_by = ck_now() + STOP_TIMEOUT_US;
     tl_add(n->tl, TL_STOP, "", 0, "planned stop");
 }
 
 /* ---- creation ---- */
 
-/* The first voters' identities follow from the cluster's and their names, so that they can be
- * told to one another before any of them runs. */
-static uint64_t first_identity(const struct st_settings *s, const char *name)
+/* The initial voters' ids are computed from the cluster's name and theirs, so that each knows
+ * the others' ids before any of them runs. */
+static uint64_t initial_identity(const struct st_settings *s, const char *name)
 {
     uint64_t h = XXH64(s->cluster, strlen(s->cluster), 7);
     return XXH64(name, strlen(name), h) | 1;
 }
 
-static void first_members(const struct st_settings *s, struct qr_members *m)
+static void initial_members(const struct st_settings *s, struct qr_members *m)
 {
     for (int i = 0; i < s->n_voters; i++) {
         struct qr_member *x = &m->m[m->n++];
         const struct st_peer *p = &s->voters[i];
-        x->id = first_identity(s, p->name);
+        x->id = initial_identity(s, p->name);
         x->voter = true;
         x->port = p->port;
         sr_copy(x->name, sizeof(x->name), sr_from(p->name));
@@ -208,7 +211,8 @@
     }
 }
 
-/* Whether this node is one of the first voters, where the seeds are these. */
+/* Whether this node is one of the seeds; where nodes register, the seeds are the initial
+ * voters. */
 static bool is_seed(const struct st_settings *s)
 {
     for (int i = 0; i < s->n_voters; i++) {
@@ -222,32 +226,32 @@
                        struct er_err *err)
 {
     const struct st_settings *s = n->s;
-    bool among = !s->registers || is_seed(s);
-    uint64_t wanted = bootstrap && among ? first_identity(s, s->name) : 0;
+    bool may_found = !s->registers || is_seed(s);
+    uint64_t wanted = bootstrap && may_found ? initial_identity(s, s->name) : 0;
     n->store = so_open(s->data, s->cluster, wanted, disk, err);
     if (!n->store)
         return false;
     n->id = disk->identity;
     if (disk->torn_bytes)
-        FL_WARN(&n->log, "%llu bytes of an unfinished write were cut off the log",
+        FL_WARN(&n->log, "%llu bytes of an incomplete write were removed from the log",
                 (unsigned long long)disk->torn_bytes);
     if (disk->fresh && !bootstrap && !s->registers)
         FL_WARN(&n->log,
                 "%s was empty: this is a new member, id %llx; it votes once an operator has "
-                "let it in (ferryctl plan replace)",
+                "added it (ferryctl plan replace)",
                 s->data, (unsigned long long)n->id);
-    /* One of the first voters, without a snapshot: the list is that of the settings, as they
-     * were then. */
-    bool founder = n->id == first_identity(s, s->name);
+    /* An initial voter without a snapshot starts with the members that the settings listed when
+     * the cluster was created. */
+    bool founder = n->id == initial_identity(s, s->name);
     if (!founder || disk->restore.snap_index != 0)
         return true;
     if (!s->registers) {
-        first_members(s, &disk->restore.members);
+        initial_members(s, &disk->restore.members);
         return true;
     }
     if (bootstrap && disk->fresh)
-        first_members(s, &disk->restore.members);
-    return ct_founders(n, bootstrap && disk->fresh, &disk->restore.members, err);
+        initial_members(s, &disk->restore.members);
+    return ct_initial_voters(n, bootstrap && disk->fresh, &disk->restore.members, err);
 }
 
 static void restore_view(struct ct_node *n, const struct so_loaded *disk)
@@ -255,11 +259,11 @@
     if (!disk->restore.snap_len)
         return;
     ct_restore_view(n, disk->restore.snap, disk->restore.snap_len);
-    n->past_floor = n->view.generation;
+    n->history_floor = n->view.generation;
 }
 
 struct ct_node *ct_create(struct nt_loop *l, const struct st_settings *s, struct tl_ring *tl,
-                          const struct ct_interface *outside, bool bootstrap,
+                          const struct ct_platform_ops *platform, bool bootstrap,
                           void (*stopped)(void *, bool), void *ud, struct er_err *err)
 {
     struct ct_node *n = sr_alloc(sizeof(*n));
@@ -268,9 +272,9 @@
     n->s = s;
     n->loop = l;
     n->tl = tl;
-    n->outside = outside;
-    n->driver = outside ? outside->endpoints : &ep_ws;
-    n->steering = outside ? &ct_by_takeover : &ct_by_promote;
+    n->platform = platform;
+    n->driver = platform ? platform->endpoints : &ep_ws;
+    n->failover = platform ? &ct_failover_takeover : &ct_failover_promote;
     n->stopped = stopped;
     n->stopped_ud = ud;
     vw_init(&n->view);
@@ -285,15 +289,15 @@
     struct qr_config cfg = {.self = n->id,
                             .election_us = CK_MS(s->election_ms),
                             .heartbeat_us = CK_MS(s->heartbeat_ms),
-                            .sink = &ct_sink,
+                            .sink = &ct_quorum_sink,
                             .ud = n};
     randombytes_buf(&cfg.seed, sizeof(cfg.seed));
     n->q = qr_create(&cfg, &disk.restore, ck_now());
     so_release(n->store);
-    ct_document_changed(n);
+    ct_load_document(n);
     ct_groups_sync(n);
     tl_add(tl, TL_START, "", qr_term(n->q), "control node %llx", (unsigned long long)n->id);
-    nt_timer_set(l, &n->tick, TICK_US, tick, n);
+    nt_timer_set(l, &n->tick_timer, TICK_US, tick, n);
     return n;
 }
 
--- a/control/limits.c
+++ b/control/limits.c
@@ -1,5 +1,5 @@
-/* Limits of client accounts: the leader gives nodes permits with the answers to their renewals
- * (limit/). */
+/* Limits of client accounts: the leader assigns permits to entry nodes with the answers to
+ * their renewals (limit/). */
 #include "control/control.h"
 #include "misc/clock.h"
 
@@ -24,8 +24,8 @@
     lm_sweep(&n->limits);
 }
 
-uint32_t ct_limits_asked(struct ct_node *n, uint64_t node, const struct wr_renew *r,
-                         uint64_t seq, struct wr_permit *out)
+uint32_t ct_limits_on_renew(struct ct_node *n, uint64_t node, const struct wr_renew *r,
+                            uint64_t seq, struct wr_permit *out)
 {
     int64_t now = ck_now();
     uint32_t k = 0;
@@ -33,10 +33,11 @@
     for (uint32_t i = 0; i < r->n_permits && !r->stopping; i++) {
         const struct wr_permit_ask *a = &r->permits[i];
         struct lm_report report = {(int)a->held, (int)a->want, (int)a->returned};
-        struct lm_answer answer;
+        struct lm_grant answer;
         char name[LM_NAME];
         if (!sr_copy(name, sizeof(name), a->account) || !name[0] ||
-            !lm_ask(&n->limits, name, node, &report, r->shares_seq, seq, now, &answer))
+            !lm_handle_report(&n->limits, name, node, &report, r->shares_seq, seq, now,
+                              &answer))
             continue;
         out[k++] = (struct wr_permit){.account = a->account,
                                       .given = (uint32_t)answer.given,
--- a/control/promotions.c
+++ b/control/promotions.c
@@ -1,4 +1,5 @@
-/* Promotions: what promote/ decides for each group, carried out. */
+/* Changes of primary where instances obey fences: carries out what promote/ decides for each
+ * group. */
 #include <stdlib.h>
 
 #include "control/control.h"
@@ -11,7 +12,7 @@
     if (kind == VW_CH_REPLACE)
         tl_add(n->tl, TL_DOWN, g->name, a->term, "%s",
                g->pr.why[0] ? g->pr.why : "no primary yet");
-    ct_steer(n, g, a->inst, &ch);
+    ct_propose_for_group(n, g, a->inst, &ch);
 }
 
 static void do_follow(struct ct_node *n, struct ct_group *g, const struct pr_action *a)
@@ -32,7 +33,7 @@
     struct ep_request q = {.term = a->term};
     switch (a->kind) {
     case PR_DO_CHECK:
-        pr_checking(&g->pr, ct_check_nodes(n, g->pr.nonce, in->id));
+        pr_checks_sent(&g->pr, ct_request_checks(n, g->pr.nonce, in->id));
         break;
     case PR_DO_REPLACE:
         propose(n, g, VW_CH_REPLACE, a);
@@ -41,7 +42,7 @@
         propose(n, g, VW_CH_ABANDON, a);
         break;
     case PR_DO_PRIMARY:
-        n->c.promotions++;
+        n->counters.promotions++;
         propose(n, g, VW_CH_PRIMARY, a);
         break;
     case PR_DO_FENCE:
@@ -73,10 +74,10 @@
 {
     const struct vw_group *v = vw_group(&n->view, g->name);
     struct pr_actions acts;
-    bool polite = n->s->fence && v->phase == VW_HANDING;
-    bool dropped = polite ? ls_known_have(&n->giver, g->phase_gen, ck_now())
-                          : ls_all_have(&n->giver, g->phase_gen, ck_now());
-    pr_tick(&g->pr, v, dropped, ck_now(), &acts);
+    bool fenced_handover = n->s->fence && v->phase == VW_HANDING;
+    bool applied = fenced_handover ? ls_known_applied(&n->leases, g->phase_generation, ck_now())
+                                   : ls_all_applied(&n->leases, g->phase_generation, ck_now());
+    pr_tick(&g->pr, v, applied, ck_now(), &acts);
     act_on(n, g, &acts);
 }
 
@@ -105,19 +106,19 @@
     pr_probed(&g->pr, inst, vantage, domain, health == PR_UNFIT ? PR_UP : health, ck_now());
 }
 
-static void said(struct ct_group *g, const char *inst, const struct ep_reply *r)
+static void replied(struct ct_group *g, const char *inst, const struct ep_reply *r)
 {
-    pr_said(&g->pr, inst, r->primary, r->term, r->following, r->held, ck_now());
+    pr_set_status(&g->pr, inst, r->primary, r->term, r->following, r->held, ck_now());
 }
 
-static void reached(struct ct_group *g, const char *inst)
+static void connected(struct ct_group *g, const char *inst)
 {
     pr_reached(&g->pr, inst, ck_now());
 }
 
 static void checked(struct ct_group *g, uint64_t nonce, enum pr_health health)
 {
-    pr_checked(&g->pr, nonce, health == PR_UNFIT ? PR_UP : health);
+    pr_check_reply(&g->pr, nonce, health == PR_UNFIT ? PR_UP : health);
 }
 
 static bool busy(const struct ct_group *g)
@@ -125,4 +126,5 @@
     return g->pr.step != PR_IDLE;
 }
 
-const struct ct_steering ct_by_promote = {begin, probed, said, reached, checked, decide, busy};
+const struct ct_failover_ops ct_failover_promote = {begin,   probed, replied, connected,
+                                                    checked, decide, busy};
--- a/control/registrations.c
+++ b/control/registrations.c
@@ -1,59 +1,60 @@
-/* Instances that register themselves. What they tell is agreed before it is acknowledged. */
+/* Instances that register themselves. A call that changes the view is acknowledged only after
+ * the change is committed. */
 #include "control/control.h"
 #include "misc/clock.h"
 
-/* The newest call that this node took of an instance. Soft: another leader starts
- * without it, and what matters (drained, left) is in the view. */
-static struct ct_seq *seq_of(struct ct_node *n, const char *id)
+/* The newest call of an instance that this node accepted. It is not replicated: another leader
+ * starts without it, and the states that matter (draining, left) are in the view. When the
+ * table is full, it is emptied. */
+static struct ct_last_call *last_call_of(struct ct_node *n, const char *id)
 {
-    int i = ix_get(&n->seq_at, id);
+    int i = ix_get(&n->last_call_index, id);
     if (i != IX_NONE)
-        return &n->seqs[i];
-    if (n->n_seqs == CT_MAX_SEQS) {
-        ix_free(&n->seq_at);
-        n->seq_at = (struct ix_index){0};
-        n->n_seqs = 0;
+        return &n->last_calls[i];
+    if (n->n_last_calls == CT_MAX_LAST_CALLS) {
+        ix_free(&n->last_call_index);
+        n->last_call_index = (struct ix_index){0};
+        n->n_last_calls = 0;
     }
-    struct ct_seq *s = &n->seqs[n->n_seqs];
-    *s = (struct ct_seq){0};
+    struct ct_last_call *s = &n->last_calls[n->n_last_calls];
+    *s = (struct ct_last_call){0};
     sr_copy(s->id, sizeof(s->id), sr_from(id));
-    ix_set(&n->seq_at, id, n->n_seqs++);
+    ix_set(&n->last_call_index, id, n->n_last_calls++);
     return s;
 }
 
-static bool take(struct ct_node *n, enum rg_need need, const struct vw_change *ch,
-                 struct nt_conn *c,
-                 void (*done)(struct ct_node *, struct nt_conn *, const struct er_err *),
-                 struct er_err *err)
+static bool propose_change(
+    struct ct_node *n, enum rg_result result, const struct vw_change *ch, struct nt_conn *c,
+    void (*done)(struct ct_node *, struct nt_conn *, const struct er_err *), struct er_err *err)
 {
     uint64_t index;
-    if (need == RG_NOTHING || need == RG_LATE)
+    if (result == RG_UNCHANGED || result == RG_STALE)
         return true;
-    if (need == RG_REFUSE || !ct_propose(n, ch, &index, err))
+    if (result == RG_REFUSE || !ct_propose(n, ch, &index, err))
         return false;
     FL_EVENT(&n->log, LG_INFO, "instance_changed", "instance=%s group=%s change=%s",
              ch->instance, ch->group, vw_change_name(ch->kind));
-    ct_await(n, c, index, done);
+    ct_await_commit(n, c, index, done);
     return false;
 }
 
-bool ct_register(struct ct_node *n, const struct rg_beat *b, struct nt_conn *c,
+bool ct_register(struct ct_node *n, const struct rg_heartbeat *b, struct nt_conn *c,
                  void (*done)(struct ct_node *, struct nt_conn *, const struct er_err *),
                  struct er_err *err)
 {
     struct vw_change ch;
     struct er_err refused = {0};
-    struct ct_seq *s = seq_of(n, b->inst.id);
-    enum rg_need need = rg_beat(&n->view, b, &s->last, &ch, &refused);
-    if (!rg_may_end(need) && !ct_may_answer(n, err))
+    struct ct_last_call *s = last_call_of(n, b->inst.id);
+    enum rg_result result = rg_on_heartbeat(&n->view, b, &s->last, &ch, &refused);
+    if (!rg_needs_no_leader(result) && !ct_may_answer(n, err))
         return false;
-    if (need == RG_REFUSE)
+    if (result == RG_REFUSE)
         *err = refused;
-    /* Only of a call that is acknowledged now: one whose change is not committed may come
-     * again. */
-    if (need == RG_NOTHING)
-        s->last = (struct rg_last){b->inst.born, b->seq};
-    return take(n, need, &ch, c, done, err);
+    /* Only for a call that is acknowledged now: one whose change is not committed may be
+     * repeated. */
+    if (result == RG_UNCHANGED)
+        s->last = (struct rg_last_call){b->inst.born, b->seq};
+    return propose_change(n, result, &ch, c, done, err);
 }
 
 bool ct_deregister(struct ct_node *n, const char *id, struct nt_conn *c,
@@ -63,5 +64,5 @@
     struct vw_change ch;
     if (!ct_may_answer(n, err))
         return false;
-    return take(n, rg_leave(&n->view, id, &ch), &ch, c, done, err);
+    return propose_change(n, rg_on_leave(&n->view, id, &ch), &ch, c, done, err);
 }
--- a/member/member.c
+++ b/member/member.c
@@ -4,7 +4,7 @@
 
 static bool alive(const struct mb_state *s, const struct mb_node *n)
 {
-    return n->id == s->self || n->heard_us < MB_GONE_US;
+    return n->id == s->self || n->silent_us < MB_SILENT_LIMIT_US;
 }
 
 static int live_voters(const struct mb_state *s)
@@ -15,21 +15,21 @@
     return k;
 }
 
-/* How many should vote: an odd number of those that are there, so that of two halves one has a
- * majority, and no fewer than what must be borne asks for. */
+/* How many nodes should vote: an odd number of the reachable ones, so that one of two
+ * partitions has a majority, and at least as many as the tolerated losses require. */
 static int wanted_voters(const struct mb_state *s)
 {
-    int there = 0;
+    int reachable = 0;
     for (int i = 0; i < s->n; i++) {
         const struct mb_node *n = &s->node[i];
-        there += n->member ? alive(s, n) : n->connected;
+        reachable += n->member ? alive(s, n) : n->connected;
     }
-    int odd = there % 2 ? there : there - 1;
-    int least = mb_needed(s->tolerates);
-    return odd > least ? odd : least;
+    int odd = reachable % 2 ? reachable : reachable - 1;
+    int required = mb_required_voters(s->tolerates);
+    return odd > required ? odd : required;
 }
 
-static int members(const struct mb_state *s)
+static int count_members(const struct mb_state *s)
 {
     int k = 0;
     for (int i = 0; i < s->n; i++)
@@ -37,8 +37,9 @@
     return k;
 }
 
-/* Whether another voter that is there has the address: this identity's disk is lost. */
-static bool succeeded(const struct mb_state *s, const struct mb_node *n)
+/* Whether another reachable voter has the node's address: the disk with this node's id is lost.
+ */
+static bool address_taken(const struct mb_state *s, const struct mb_node *n)
 {
     for (int i = 0; i < s->n; i++) {
         const struct mb_node *o = &s->node[i];
@@ -48,7 +49,8 @@
     return false;
 }
 
-/* A voter that may go: its place was taken, or enough others are there without it. */
+/* An unreachable member that may be removed: a learner, a voter whose address another voter
+ * has, or a voter without which enough reachable voters are left. *why is the reason. */
 static const struct mb_node *to_remove(const struct mb_state *s, const char **why)
 {
     int live = live_voters(s);
@@ -56,22 +58,21 @@
         const struct mb_node *n = &s->node[i];
         if (!n->member || alive(s, n))
             continue;
-        if (!n->voter || succeeded(s, n)) {
-            *why =
-                n->voter ? "another identity votes at its address" : "a learner that is gone";
+        if (!n->voter || address_taken(s, n)) {
+            *why = n->voter ? "another voter has its address" : "unreachable learner";
             return n;
         }
-        if (live >= mb_needed(s->tolerates)) {
-            *why = "not heard of, and enough voters are there without it";
+        if (live >= mb_required_voters(s->tolerates)) {
+            *why = "unreachable, and enough other voters are reachable";
             return n;
         }
     }
     return NULL;
 }
 
-static struct mb_action step(enum mb_step what, const struct mb_node *n, const char *why)
+static struct mb_action make_action(enum mb_step step, const struct mb_node *n, const char *why)
 {
-    return (struct mb_action){what, n->id, why};
+    return (struct mb_action){step, n->id, why};
 }
 
 struct mb_action mb_next(const struct mb_state *s)
@@ -81,15 +82,15 @@
     for (int i = 0; more && i < s->n; i++) {
         const struct mb_node *n = &s->node[i];
         if (n->member && !n->voter && n->caught_up && alive(s, n))
-            return step(MB_VOTER, n, "it holds all that is committed");
+            return make_action(MB_VOTER, n, "it has all committed entries");
     }
-    const struct mb_node *gone = to_remove(s, &why);
-    if (gone)
-        return step(MB_REMOVE, gone, why);
+    const struct mb_node *removable = to_remove(s, &why);
+    if (removable)
+        return make_action(MB_REMOVE, removable, why);
     for (int i = 0; i < s->n; i++) {
         const struct mb_node *n = &s->node[i];
-        if (!n->member && n->connected && members(s) < QR_MAX_MEMBERS)
-            return step(MB_ADD, n, "a control node with a disk of its own");
+        if (!n->member && n->connected && count_members(s) < QR_MAX_MEMBERS)
+            return make_action(MB_ADD, n, "new control node with a disk of its own");
     }
     return (struct mb_action){MB_NONE, 0, ""};
 }
--- a/proxy/conn.c
+++ b/proxy/conn.c
@@ -1,19 +1,22 @@
-/* Connections to instances: one statement at a time, those of our own before the session's. */
+/* Connections to instances. Each carries one statement at a time; the proxy's own statements
+ * that prepare the connection precede the session's statement. */
 #include <stdio.h>
 #include <stdlib.h>
 
 #include "proxy/priv.h"
 
 enum {
-    OPEN_US = 1000000,  /* an instance that does not greet by then is tried anew */
-    ORPHAN_US = 400000, /* an answer that is later is taken for lost: its connection goes */
-    RETRY_US = 100000,  /* after a connect that failed */
-    /* The instance has no connection free: others must close some. Soon asked again while dark
-     * connections of lost VMs may be what fills it: it drops them within 3 s (users' pages),
-     * and what is free then should not lie idle. */
-    TOO_MANY_US = 400000,
-    TOO_MANY_SOON_US = 60000,
-    DARK_US = 3500000,
+    /* A connection without a greeting by then is closed and retried. */
+    GREETING_TIMEOUT_US = 1000000,
+    /* A later answer counts as lost, and the connection is closed. */
+    ORPHAN_TIMEOUT_US = 400000,
+    CONNECT_RETRY_US = 100000, /* after a failed connect */
+    /* The instance accepts no more connections until others close some. It is retried early
+     * while connections of lost VMs may be what fills it: it drops them within 3 s, and the
+     * freed ones should be used soon. */
+    TOO_MANY_RETRY_US = 400000,
+    TOO_MANY_EARLY_RETRY_US = 60000,
+    STALE_CONNS_US = 3500000,
 };
 
 /* ---- sending ---- */
@@ -26,7 +29,7 @@
     c->sent_at = ck_now();
     c->term = c->inst->group->cfg.term;
     c->leased = px_leased(p);
-    c->done = false;
+    c->complete_seen = false;
     c->error = ER_NONE;
     c->rows.len = c->signature.len = 0;
     bool ok = c->net && nt_send(c->net, b.p, b.len);
@@ -34,8 +37,8 @@
     return ok;
 }
 
-static bool send_own(struct px_conn *c, const struct px_stmt *st, bool has_floor,
-                     struct ps_pos floor)
+static bool send_own_stmt(struct px_conn *c, const struct px_stmt *st, bool has_floor,
+                          struct ps_pos floor)
 {
     struct sr_buf text = {0};
     c->inst->p->cfg.codec->put_text(&text, st);
@@ -48,7 +51,7 @@
 
 /* ---- the session's statement ---- */
 
-static const struct px_prepared *runs_prepared(const struct px_session *s)
+static const struct px_prepared *prepared_to_execute(const struct px_session *s)
 {
     if (s->stmt.verb != PX_V_EXECUTE)
         return NULL;
@@ -58,17 +61,17 @@
 static bool send_statement(struct px_conn *c, struct px_session *s)
 {
     struct sr_buf text = {0};
-    const struct px_prepared *run = runs_prepared(s);
-    /* A transaction saw the floor when it began. */
+    const struct px_prepared *prepared = prepared_to_execute(s);
+    /* A transaction checked the floor when it began. */
     bool floor = s->has_floor && s->txn == PX_IDLE;
     struct px_msg m = {.kind = PX_STATEMENT,
                        .id = s->id,
                        .text = s->text,
                        .has_floor = floor,
                        .pos = s->floor};
-    if (run) { /* its name is ours here */
+    if (prepared) { /* the connection knows the statement by a name of the proxy */
         struct px_stmt st = s->stmt;
-        st.name = sr_from(px_prepared_name_on(&c->applied, run));
+        st.name = sr_from(px_prepared_name_on(&c->applied, prepared));
         c->inst->p->cfg.codec->put_text(&text, &st);
         m.text = (struct sr_str){text.p, text.len};
     }
@@ -80,30 +83,32 @@
            s->txn_begun);
     c->phase = PX_C_RUNNING;
     px_stage_done(s, PX_T_SETUP);
-    s->sent_at = c->used_at = ck_now();
+    s->sent_at = c->last_used_at = ck_now();
     s->offers++;
     bool ok = send_msg(c, &m);
     sr_buf_free(&text);
     return ok;
 }
 
-/* The next of our own statements that the session's needs; false: none. */
+/* Sends the next statement of the proxy that the session's statement requires; false: none is
+ * left. */
 static bool send_setup(struct px_conn *c, struct px_session *s, bool *sent)
 {
-    if (px_next_setup(&s->state, &c->applied, runs_prepared(s), c->setup_name, &c->setup)) {
+    if (px_next_setup(&s->state, &c->applied, prepared_to_execute(s), c->setup_name,
+                      &c->setup)) {
         c->phase = PX_C_SETUP;
-        *sent = send_own(c, &c->setup, false, s->floor);
+        *sent = send_own_stmt(c, &c->setup, false, s->floor);
         return true;
     }
     if (s->txn == PX_IDLE || s->txn_begun)
         return false;
     c->setup = (struct px_stmt){.verb = PX_V_BEGIN, .read_only = s->txn_read_only};
     c->phase = PX_C_SETUP;
-    *sent = send_own(c, &c->setup, s->has_floor, s->floor);
+    *sent = send_own_stmt(c, &c->setup, s->has_floor, s->floor);
     return true;
 }
 
-static void advance(struct px_conn *c)
+static void send_next(struct px_conn *c)
 {
     struct px_session *s = c->session;
     bool sent = true;
@@ -122,7 +127,7 @@
     s->inst = c->inst;
     s->stage = PX_S_AT_INSTANCE;
     px_stage_done(s, PX_T_WAIT);
-    advance(c);
+    send_next(c);
 }
 
 /* ---- ending ---- */
@@ -133,7 +138,7 @@
         c->inst->busy--;
     c->phase = PX_C_IDLE;
     c->session = NULL;
-    px_inst_pump(c->inst);
+    px_inst_serve_waiters(c->inst);
 }
 
 void px_conn_rollback(struct px_conn *c)
@@ -141,21 +146,22 @@
     struct px_stmt st = {.verb = PX_V_ROLLBACK};
     struct ps_pos none = {0};
     c->session = NULL;
-    c->phase = PX_C_ENDING;
-    if (!send_own(c, &st, false, none))
+    c->phase = PX_C_ROLLING_BACK;
+    if (!send_own_stmt(c, &st, false, none))
         px_conn_close(c);
 }
 
 void px_conn_orphan(struct px_conn *c)
 {
     c->session = NULL;
-    /* What is out may or may not change what the connection has: it starts anew before use. */
+    /* The outstanding statement may or may not take effect, so the connection's settings are
+     * unknown and must be reset before use. */
     if (c->phase == PX_C_SETUP)
         c->applied.session = UINT64_MAX;
-    if (c->phase == PX_C_RESTING)
+    if (c->phase == PX_C_IDLE_IN_TXN)
         px_conn_rollback(c);
     else
-        c->phase = PX_C_ORPHAN;
+        c->phase = PX_C_ORPHANED;
 }
 
 void px_conn_close(struct px_conn *c)
@@ -169,52 +175,53 @@
 
 /* ---- reading ---- */
 
-static void hear(struct px_conn *c)
+static void note_received(struct px_conn *c)
 {
-    c->inst->heard = ck_now();
-    c->inst->refused_at = 0;
+    c->inst->last_received = ck_now();
+    c->inst->connect_failed_at = 0;
 }
 
-/* What the position of an answer tells: of the primary, what every commit acknowledged before
- * the question was sent lies below; of a replica, what it has. */
+/* Records the position of an answer. The primary's position covers every commit that was
+ * acknowledged before the statement was sent; a replica's says what it has applied. */
 static void note_position(struct px_conn *c)
 {
     struct px_inst *in = c->inst;
-    if (!c->has_pos || in->gone)
+    if (!c->has_pos || in->removed)
         return;
-    if (ps_cmp(c->pos, in->known) > 0)
-        in->known = c->pos;
-    bool primary = in->at == in->group->cfg.primary;
+    if (ps_cmp(c->pos, in->known_pos) > 0)
+        in->known_pos = c->pos;
+    bool primary = in->index == in->group->cfg.primary;
     if (primary && c->leased && c->term == in->group->cfg.term)
-        rt_primary_at(&in->group->rt, c->sent_at, c->pos);
+        rt_record_primary_pos(&in->group->rt, c->sent_at, c->pos);
 }
 
-static void note_time(struct px_conn *c)
+static void note_service_time(struct px_conn *c)
 {
     enum { WEIGHT = 8 };
     int64_t us = ck_now() - c->sent_at;
     c->inst->service_us += (us - c->inst->service_us) / WEIGHT;
     if (c->error == ER_BUSY)
-        px_window_full(&c->inst->window, ck_now());
+        px_window_queue_full(&c->inst->window, ck_now());
     else if (c->error == ER_NONE)
-        px_window_done(&c->inst->window, us, px_inst_running(c->inst) - 1, ck_now());
+        px_window_answered(&c->inst->window, us, px_inst_running(c->inst) - 1, ck_now());
     if (c->error == ER_NONE && c->session->stmt.verb != PX_V_COMMIT)
-        px_pace_note(&c->inst->group->pace, c->session->pace_kind, &c->inst->pace, us);
+        px_service_time_record(&c->inst->group->service_times, c->session->pace_kind,
+                               &c->inst->service_factor, us);
 }
 
-/* Of the answers, only those to reads tell of the instance: a write may fail by what it writes.
- * An answer that is lost counts against it whatever was asked. */
+/* Only answers to reads are evaluated, since a write may fail because of what it writes. A lost
+ * answer counts against the instance for any statement. */
 static void note_outcome(struct px_conn *c)
 {
     bool failed = c->error == ER_FAILED || c->error == ER_TIMEOUT;
     bool read = !c->session->writes && c->session->stmt.verb != PX_V_COMMIT;
     if (read && c->error == ER_NONE)
-        c->inst->served_at = ck_now();
+        c->inst->read_served_at = ck_now();
     if (read && (failed || c->error == ER_NONE))
-        px_outlier_note(&c->inst->outlier, !failed, ck_now());
+        px_outlier_record(&c->inst->outlier, !failed, ck_now());
 }
 
-static int open_conns(const struct px_inst *in)
+static int count_open(const struct px_inst *in)
 {
     int k = 0;
     for (const struct px_conn *c = in->conns; c; c = c->next)
@@ -222,21 +229,21 @@
     return k;
 }
 
-static void opened(struct px_conn *c)
+static void handle_opened(struct px_conn *c)
 {
     struct px_inst *in = c->inst;
     c->phase = PX_C_IDLE;
-    px_full_accepted(&in->full, &in->p->fulls, open_conns(in), ck_now());
-    in->full_since = 0;
-    in->wants_first = false;
+    px_saturation_accepted(&in->saturation, &in->p->saturation, count_open(in), ck_now());
+    in->too_many_since = 0;
+    in->wants_first_conn = false;
     in->p->c.opened_conns++;
-    px_inst_pump(in);
+    px_inst_serve_waiters(in);
 }
 
-/* What the session's statement needed first was refused. A BEGIN leaves the connection as it
- * was; after another the connection's state is not known, and with it goes the transaction that
- * may be open on it. */
-static void setup_refused(struct px_conn *c, struct px_session *s)
+/* A statement of the proxy that prepares the session's one was refused. A BEGIN leaves the
+ * connection as it was. After any other statement the connection's state is unknown, so it is
+ * closed, and a transaction open on it is lost. */
+static void handle_setup_error(struct px_conn *c, struct px_session *s)
 {
     enum er_kind why = c->error;
     bool begin = c->setup.verb == PX_V_BEGIN && c->state == PX_IDLE;
@@ -252,91 +259,96 @@
         px_on_not_sent(s, c, why);
 }
 
-static void setup_answered(struct px_conn *c)
+static void handle_setup_answer(struct px_conn *c)
 {
     struct px_session *s = c->session;
     if (c->error != ER_NONE) {
-        setup_refused(c, s);
+        handle_setup_error(c, s);
         return;
     }
     if (c->setup.verb == PX_V_BEGIN)
         s->txn_begun = true;
     else
         px_setup_done(&s->state, &c->applied, &c->setup);
-    advance(c);
+    send_next(c);
 }
 
-/* An end without COMPLETE or ERROR: the answer broke off, and what ran is not known. */
-static bool broke_off(const struct px_conn *c)
+/* Whether the answer ended without COMPLETE or ERROR: it is incomplete, and it is not known
+ * what was executed. */
+static bool is_incomplete(const struct px_conn *c)
 {
-    return c->phase != PX_C_OPENING && !c->done && c->error == ER_NONE;
+    return c->phase != PX_C_OPENING && !c->complete_seen && c->error == ER_NONE;
 }
 
-/* A whole answer is there: its READY has come. */
-static void complete(struct px_conn *c)
+/* Handles the end of an answer, its READY. */
+static void handle_answer(struct px_conn *c)
 {
-    if (broke_off(c)) {
-        px_outlier_note(&c->inst->outlier, false, ck_now());
+    if (is_incomplete(c)) {
+        px_outlier_record(&c->inst->outlier, false, ck_now());
         FL_EVENT(&c->inst->p->log, LG_INFO, "answer_broke_off", "instance=%s group=%s",
                  c->inst->cfg.id, c->inst->group->cfg.name);
-        px_conn_close(c); /* its end is that of a lost answer */
+        px_conn_close(c); /* treated like the loss of the answer */
         return;
     }
     note_position(c);
     switch (c->phase) {
     case PX_C_OPENING:
-        opened(c);
+        handle_opened(c);
         break;
     case PX_C_SETUP:
-        setup_answered(c);
+        handle_setup_answer(c);
         break;
     case PX_C_RUNNING:
-        note_time(c);
+        note_service_time(c);
         note_outcome(c);
         px_stage_done(c->session, PX_T_INSTANCE);
         px_on_answer(c->session, c);
         break;
-    case PX_C_ENDING:
-    case PX_C_ORPHAN:
+    case PX_C_ROLLING_BACK:
+    case PX_C_ORPHANED:
         if (c->state == PX_IDLE)
             px_conn_idle(c);
-        else if (c->phase == PX_C_ORPHAN)
+        else if (c->phase == PX_C_ORPHANED)
             px_conn_rollback(c);
         else
             px_conn_close(c);
         break;
     case PX_C_IDLE:
-    case PX_C_RESTING:
-        FL_WARN(&c->inst->p->log, "instance %s answered what was not asked; closing",
+    case PX_C_IDLE_IN_TXN:
+        FL_WARN(&c->inst->p->log, "instance %s sent an unexpected answer; closing",
                 c->inst->cfg.id);
         px_conn_close(c);
         break;
     }
 }
 
-/* Nothing of an open connection's refusal is the session's: the next is opened later. */
-static void open_refused(struct px_conn *c, const struct px_msg *m)
+/* A connection was refused while opening. No session is affected; the next one is opened later.
+ */
+static void handle_open_error(struct px_conn *c, const struct px_msg *m)
 {
     struct px_inst *in = c->inst;
     int64_t now = ck_now();
-    bool full = m->error == ER_TOO_MANY;
-    if (!full)
-        in->full_since = 0;
-    else if (!in->full_since)
-        in->full_since = now;
-    bool soon = full && now - in->full_since < DARK_US;
-    int open = open_conns(in);
-    in->next_open = now + (soon ? TOO_MANY_SOON_US : full ? TOO_MANY_US : RETRY_US);
-    if (soon && open > 0 && px_has_accounts(in->p)) { /* they take turns on those */
-        px_full_refused(&in->full, &in->p->fulls, open, now);
-        in->next_open = now;
+    bool too_many = m->error == ER_TOO_MANY;
+    if (!too_many)
+        in->too_many_since = 0;
+    else if (!in->too_many_since)
+        in->too_many_since = now;
+    bool early = too_many && now - in->too_many_since < STALE_CONNS_US;
+    int n_open = count_open(in);
+    in->next_open_at = now + (early      ? TOO_MANY_EARLY_RETRY_US
+                              : too_many ? TOO_MANY_RETRY_US
+                                         : CONNECT_RETRY_US);
+    /* Accounts take turns on the open connections. */
+    if (early && n_open > 0 && px_has_accounts(in->p)) {
+        px_saturation_refused(&in->saturation, &in->p->saturation, n_open, now);
+        in->next_open_at = now;
     }
     FL_INFO(&in->p->log, "instance %s refuses a connection: %s %.*s", in->cfg.id,
             er_name(m->error), (int)m->detail.len, m->detail.p);
     px_conn_close(c);
 }
 
-static void take(struct px_conn *c, const struct px_msg *m)
+static void handle_msg(struct px_conn *c, const struct px_msg *m)
 {
     const struct px_codec *codec = c->inst->p->cfg.codec;
     switch (m->kind) {
@@ -344,13 +356,13 @@
         codec->put(&c->rows, m);
         break;
     case PX_DONE:
-        c->done = true;
+        c->complete_seen = true;
         c->signature.len = 0;
         sr_buf_add(&c->signature, m->signature.p, m->signature.len);
         break;
     case PX_FAILURE:
         if (c->phase == PX_C_OPENING) {
-            open_refused(c, m);
+            handle_open_error(c, m);
             break;
         }
         c->error = m->error;
@@ -360,10 +372,10 @@
         c->state = m->txn;
         c->has_pos = m->has_pos;
         c->pos = m->pos;
-        complete(c);
+        handle_answer(c);
         break;
     default:
-        FL_WARN(&c->inst->p->log, "instance %s sent no message of the protocol; closing",
+        FL_WARN(&c->inst->p->log, "instance %s sent an invalid message; closing",
                 c->inst->cfg.id);
         px_conn_close(c);
     }
@@ -375,10 +387,10 @@
     struct px_msg m;
     size_t at = 0;
     (void)net;
-    hear(c);
+    note_received(c);
     sr_buf_add(&c->in, data, len);
     while (!c->closing && px_next_msg(c->inst->p->cfg.codec, &c->in, &at, &m))
-        take(c, &m);
+        handle_msg(c, &m);
     px_consume(&c->in, at);
     if (c->in.len > PX_MAX_LINE)
         px_conn_close(c);
@@ -415,19 +427,20 @@
     free(c);
 }
 
-/* A connection that was not greeted tells that nobody is there. One that was good tells little:
- * an instance may reset it in place of an answer; a new one will tell. */
-static void closed_by_instance(struct px_conn *c, bool refused)
+/* Handles a connection that the instance closed. Without a greeting it counts as a failed
+ * connect. A connection that had been open proves little, since an instance may reset it in
+ * place of an answer; a new connection is to show whether the instance is alive. */
+static void handle_instance_close(struct px_conn *c, bool refused)
 {
     struct px_inst *in = c->inst;
     if (c->phase != PX_C_OPENING) {
-        in->next_open = 0;
-        in->asks = true;
+        in->next_open_at = 0;
+        in->wants_probe = true;
         return;
     }
-    in->refused_at = ck_now();
-    in->next_open = ck_now() + RETRY_US;
-    px_inst_suspect(in, refused ? WR_REFUSED : WR_SILENT);
+    in->connect_failed_at = ck_now();
+    in->next_open_at = ck_now() + CONNECT_RETRY_US;
+    px_inst_report_suspicion(in, refused ? WR_REFUSED : WR_SILENT);
 }
 
 static void on_close(struct nt_conn *net, void *ud, bool was_open, bool refused)
@@ -440,35 +453,35 @@
     c->net = NULL;
     unlink_conn(c);
     if (!c->closing && c->phase == PX_C_RUNNING)
-        px_outlier_note(&in->outlier, false, ck_now());
+        px_outlier_record(&in->outlier, false, ck_now());
     if (!c->closing)
-        closed_by_instance(c, refused);
+        handle_instance_close(c, refused);
     if (s) {
         s->conn = NULL;
         px_on_conn_lost(s, c, c->phase == PX_C_RUNNING);
     }
     conn_free(c);
-    px_inst_pump(in);
-    px_inst_maybe_free(in);
+    px_inst_serve_waiters(in);
+    px_inst_free_if_removed(in);
 }
 
-static const struct nt_ops ops = {on_open, on_message, on_close};
+static const struct nt_ops conn_ops = {on_open, on_message, on_close};
 
 void px_conn_open(struct px_inst *in, const char *account)
 {
     struct px_conn *c = sr_alloc(sizeof(*c));
     sr_copy(c->account, sizeof(c->account), sr_from(account));
     sr_copy(in->last_account, sizeof(in->last_account), sr_from(account));
-    c->used_at = ck_now();
+    c->last_used_at = ck_now();
     c->inst = in;
     c->phase = PX_C_OPENING;
     c->sent_at = ck_now();
-    px_full_opening(&in->full, &in->p->fulls, in->n_conns, c->sent_at);
+    px_saturation_opening(&in->saturation, &in->p->saturation, in->n_conns, c->sent_at);
     c->next = in->conns;
     in->conns = c;
     in->n_conns++;
-    c->net = nt_connect_stream(in->p->loop, in->cfg.ip, in->cfg.port, &ops, c);
-    px_meter(in->p, c->net, PX_TO_INSTANCE, in->cfg.domain);
+    c->net = nt_connect_stream(in->p->loop, in->cfg.ip, in->cfg.port, &conn_ops, c);
+    px_meter(in->p, c->net, PX_PEER_INSTANCE, in->cfg.domain);
 }
 
 void px_conn_tick(struct px_conn *c, int64_t now)
@@ -476,12 +489,13 @@
     int64_t silent_us = px_received_until(c->inst->p) - c->sent_at;
     if (c->closing)
         return;
-    if (c->phase == PX_C_OPENING && silent_us > OPEN_US) {
-        c->inst->next_open = now + RETRY_US;
-        px_inst_suspect(c->inst, WR_SILENT);
+    if (c->phase == PX_C_OPENING && silent_us > GREETING_TIMEOUT_US) {
+        c->inst->next_open_at = now + CONNECT_RETRY_US;
+        px_inst_report_suspicion(c->inst, WR_SILENT);
         px_conn_close(c);
-    } else if ((c->phase == PX_C_ORPHAN || c->phase == PX_C_ENDING) && silent_us > ORPHAN_US) {
-        px_outlier_note(&c->inst->outlier, false, now);
+    } else if ((c->phase == PX_C_ORPHANED || c->phase == PX_C_ROLLING_BACK) &&
+               silent_us > ORPHAN_TIMEOUT_US) {
+        px_outlier_record(&c->inst->outlier, false, now);
         px_conn_close(c);
     }
 }
--- a/proxy/pool.c
+++ b/proxy/pool.c
@@ -1,24 +1,30 @@
-/* Instances and this node's connections to them, within its share. */
+/* Instances and this node's connections to them, within its share: waiting sessions, suspicions
+ * and health of instances. */
 #include <stdlib.h>
 
 #include "proxy/priv.h"
 
 enum {
-    FIRST_SERVICE_US = 15000,  /* what a statement takes before any was measured */
-    SUSPECT_EVERY_US = 100000, /* an instance is reported again at the earliest */
-    LOST_TIMES = 5, /* a statement out for so many service times has probably lost its answer */
-    QUIET_US = 300000,  /* a statement without an answer for so long, and nothing else heard */
-    SILENT_US = 400000, /* a connection that is not greeted for so long */
-    LACKS_EVERY_US = 100000, /* a share is asked for out of turn at most so often */
-    FRESH_US = 400000,       /* an instance heard within this is taken for well */
-    /* An instance that fails alone is reported after this. Origin: by then each of its group
-     * has been asked often enough to tell. */
-    ALONE_US = 1000000,
-    /* Where all nodes connect at once, those that relay for the others come first by this.
-     * Origin: leases of nodes that start together are granted within some 50 ms. */
-    FIRST_HEAD_US = 100000,
-    /* A lagging replica is asked anew after 250 ms, if reads come. */
-    BEHIND_GAP_US = 500000,
+    FIRST_SERVICE_US = 15000,       /* service time assumed before any was measured */
+    SUSPICION_INTERVAL_US = 100000, /* minimum interval between two reports about an instance */
+    /* A statement outstanding for this many service times has probably lost its answer. */
+    LOST_SERVICE_TIMES = 5,
+    /* A statement unanswered for this long while nothing else was received. */
+    NO_ANSWER_US = 300000,
+    NO_GREETING_US = 400000, /* a connection without a greeting for this long */
+    /* Minimum interval between requests for a share outside of regular renewals. */
+    SHARE_REQUEST_INTERVAL_US = 100000,
+    /* An instance from which something was received within this time counts as healthy. */
+    HEALTH_FRESH_US = 400000,
+    /* An instance that fails while others of its group do not is reported after this time, when
+     * each of the group has had enough statements to tell. */
+    OUTLIER_CONFIRM_US = 1000000,
+    /* If all nodes connect at once, those that serve the sessions relayed by the others connect
+     * earlier by this. Leases of nodes that start together are granted within some 50 ms. */
+    FIRST_CONN_DELAY_US = 100000,
+    /* A replica counts as behind if it lacked a position and served no read within this time.
+     * It is retried 250 ms after it lacked a position, if there are reads. */
+    BEHIND_RECENT_US = 500000,
 };
 
 struct px_inst *px_inst_new(struct px_group *g, const struct vw_instance *cfg)
@@ -28,7 +34,7 @@
     in->group = g;
     in->cfg = *cfg;
     in->service_us = FIRST_SERVICE_US;
-    in->pace = 1;
+    in->service_factor = 1;
     px_window_init(&in->window);
     sr_copy(in->last_account, sizeof(in->last_account), sr_from(g->p->cfg.name));
     return in;
@@ -36,32 +42,32 @@
 
 bool px_inst_has_room(const struct px_inst *in, int64_t now)
 {
-    bool may = now >= in->next_open && !in->cfg.draining && !in->gone;
-    return may && in->n_conns < in->share &&
-           px_full_may_open(&in->full, &in->p->fulls, in->n_conns, now);
+    bool may_open = now >= in->next_open_at && !in->cfg.draining && !in->removed;
+    return may_open && in->n_conns < in->share &&
+           px_saturation_may_open(&in->saturation, &in->p->saturation, in->n_conns, now);
 }
 
-void px_inst_want_first(struct px_inst *in, int64_t now)
+void px_inst_want_first_conn(struct px_inst *in, int64_t now)
 {
-    if (in->n_conns > 0 || in->share == 0 || in->wants_first || px_has_accounts(in->p))
-        return; /* whose account will be asked for first is not known */
-    in->wants_first = true;
-    if (!in->group->first && in->next_open < now + FIRST_HEAD_US)
-        in->next_open = now + FIRST_HEAD_US;
+    if (in->n_conns > 0 || in->share == 0 || in->wants_first_conn || px_has_accounts(in->p))
+        return; /* the account of the first statement is not known */
+    in->wants_first_conn = true;
+    if (!in->group->connects_first && in->next_open_at < now + FIRST_CONN_DELAY_US)
+        in->next_open_at = now + FIRST_CONN_DELAY_US;
     else if (px_inst_has_room(in, now))
         px_conn_open(in, in->p->cfg.name);
 }
 
-void px_inst_lacks(struct px_inst *in, int64_t now)
+void px_inst_request_share(struct px_inst *in, int64_t now)
 {
-    if (in->share > 0 || in->n_conns > 0 || in->cfg.draining || in->gone)
+    if (in->share > 0 || in->n_conns > 0 || in->cfg.draining || in->removed)
         return;
-    if (in->peak == 0)
-        in->peak = 1;
-    if (now - in->lacked_at < LACKS_EVERY_US)
+    if (in->peak_demand == 0)
+        in->peak_demand = 1;
+    if (now - in->share_requested_at < SHARE_REQUEST_INTERVAL_US)
         return;
-    in->lacked_at = now;
-    in->p->has_changes = true; /* with a renewal of its own */
+    in->share_requested_at = now;
+    in->p->has_changes = true; /* causes an extra renewal */
 }
 
 static struct px_conn *idle_conn(const struct px_inst *in, const struct px_session *s)
@@ -71,7 +77,7 @@
     for (struct px_conn *c = in->conns; c; c = c->next) {
         if (c->phase != PX_C_IDLE || c->closing || strcmp(c->account, s->account) != 0)
             continue;
-        /* Its own values first, then a connection that has none. */
+        /* A connection with the session's values is preferred, then one without any. */
         int rank = c->applied.session == s->state.session ? 0 : c->applied.session ? 2 : 1;
         if (rank < best_rank) {
             best = c;
@@ -81,26 +87,26 @@
     return best;
 }
 
-bool px_inst_ready(const struct px_inst *in, const struct px_session *s)
+bool px_inst_has_idle_conn(const struct px_inst *in, const struct px_session *s)
 {
     return idle_conn(in, s) != NULL;
 }
 
 bool px_inst_usable(const struct px_inst *in, int64_t now)
 {
-    if (in->cfg.draining || in->gone)
+    if (in->cfg.draining || in->removed)
         return false;
     if (in->n_conns > 0)
-        return !in->refused_at;
-    return in->share > 0 && now >= in->next_open;
+        return !in->connect_failed_at;
+    return in->share > 0 && now >= in->next_open_at;
 }
 
 /* ---- waiting for a connection ---- */
 
-/* By the time until they are late, so that what may wait longer does: with the order of arrival
- * alone, long reads that have twice the time were served before short ones that then were late.
- */
-static bool before(const struct px_session *a, const struct px_session *b)
+/* Sorts by priority, then by the time at which a session's target is missed, so that sessions
+ * that can wait longer do. In order of arrival, long reads with twice the target were served
+ * before short ones, which then missed theirs. */
+static bool goes_before(const struct px_session *a, const struct px_session *b)
 {
     if (a->route.priority != b->route.priority)
         return a->route.priority < b->route.priority;
@@ -110,7 +116,7 @@
 static void enqueue(struct px_inst *in, struct px_session *s)
 {
     struct px_session **at = &in->waiters;
-    while (*at && !before(s, *at))
+    while (*at && !goes_before(s, *at))
         at = &(*at)->wait_next;
     s->wait_next = *at;
     *at = s;
@@ -120,7 +126,7 @@
     s->waiting_since = ck_now();
 }
 
-void px_inst_unwait(struct px_inst *in, struct px_session *s)
+void px_inst_dequeue(struct px_inst *in, struct px_session *s)
 {
     struct px_session **at = &in->waiters;
     while (*at && *at != s)
@@ -135,23 +141,23 @@
 static void note_demand(struct px_inst *in)
 {
     int want = in->busy + in->n_waiters;
-    if (want > in->peak)
-        in->peak = want;
+    if (want > in->peak_demand)
+        in->peak_demand = want;
 }
 
-static int opening(const struct px_inst *in)
+static int count_opening(const struct px_inst *in)
 {
-    int k = 0;
+    int n = 0;
     for (const struct px_conn *c = in->conns; c; c = c->next)
-        k += c->phase == PX_C_OPENING;
-    return k;
+        n += c->phase == PX_C_OPENING;
+    return n;
 }
 
-/* One that is out for far longer than statements take has probably lost its answer: it does not
- * hold up the others. */
+/* A statement that is outstanding for much longer than statements take has probably lost its
+ * answer and must not block the others. */
 int px_inst_running(const struct px_inst *in)
 {
-    int64_t since = px_received_until(in->p) - in->service_us * LOST_TIMES;
+    int64_t since = px_received_until(in->p) - in->service_us * LOST_SERVICE_TIMES;
     int k = 0;
     for (const struct px_conn *c = in->conns; c; c = c->next) {
         bool out = c->phase == PX_C_SETUP || c->phase == PX_C_RUNNING;
@@ -162,8 +168,9 @@
 
 /* ---- connections of accounts ---- */
 
-/* Idle connections of the account; the list is short, a share of an instance's. */
-static int idle_of(const struct px_inst *in, const char *account)
+/* The number of idle connections of the account. The list is short: the node's share of an
+ * instance. */
+static int count_idle_of(const struct px_inst *in, const char *account)
 {
     int k = 0;
     for (const struct px_conn *c = in->conns; c; c = c->next)
@@ -171,8 +178,8 @@
     return k;
 }
 
-/* Whether somebody waits for a connection of that account. */
-static bool waited_for(const struct px_inst *in, const char *account)
+/* Whether a session waits for a connection of that account. */
+static bool has_waiter_of(const struct px_inst *in, const char *account)
 {
     for (const struct px_session *s = in->waiters; s; s = s->wait_next) {
         if (strcmp(s->account, account) == 0)
@@ -181,47 +188,49 @@
     return false;
 }
 
-/* The connection that goes if another account needs one; NULL: none can. */
-static struct px_conn *spare_conn(const struct px_inst *in, const char *account)
+/* The connection to close if another account needs one; NULL: none may be closed. */
+static struct px_conn *replaceable_conn(const struct px_inst *in, const char *account)
 {
-    enum { LOOKED_AT = 64 }; /* a node's share of an instance's connections is below that */
+    enum { LOOKED_AT = 64 }; /* a node's share of an instance's connections is smaller */
     struct px_spare spare[LOOKED_AT];
     struct px_conn *conns[LOOKED_AT];
     int n = 0;
     for (struct px_conn *c = in->conns; c && n < LOOKED_AT; c = c->next) {
         bool idle = c->phase == PX_C_IDLE && !c->closing;
-        if (!idle || strcmp(c->account, account) == 0 || waited_for(in, c->account))
+        if (!idle || strcmp(c->account, account) == 0 || has_waiter_of(in, c->account))
             continue;
-        spare[n] = (struct px_spare){c->used_at, idle_of(in, c->account)};
+        spare[n] = (struct px_spare){c->last_used_at, count_idle_of(in, c->account)};
         conns[n++] = c;
     }
-    int i = px_fit_spare(spare, n);
+    int i = px_choose_spare(spare, n);
     return i < 0 ? NULL : conns[i];
 }
 
-/* What the node has there, as seen for a statement that waits. */
-static struct px_fit_view fit_view(const struct px_inst *in, const struct px_session *s,
-                                   int64_t now)
+/* The node's connections at the instance, as seen for a waiting session. */
+static struct px_choice_view choice_view(const struct px_inst *in, const struct px_session *s,
+                                         int64_t now)
 {
-    struct px_fit_view v = {.room = px_inst_has_room(in, now),
-                            .waited = now - s->waiting_since,
-                            .idle = idle_conn(in, s) != NULL};
+    struct px_choice_view v = {.share_has_room = px_inst_has_room(in, now),
+                               .waited_us = now - s->waiting_since,
+                               .idle = idle_conn(in, s) != NULL};
     for (const struct px_conn *c = in->conns; c; c = c->next) {
         bool own = !c->closing && strcmp(c->account, s->account) == 0;
-        v.own += own;
-        v.coming += own && c->phase == PX_C_OPENING;
+        v.own_conns += own;
+        v.own_opening += own && c->phase == PX_C_OPENING;
     }
     for (const struct px_session *w = in->waiters; w; w = w->wait_next) {
-        v.waiting += strcmp(w->account, s->account) == 0;
+        v.own_waiting += strcmp(w->account, s->account) == 0;
         if (w == s)
             break;
     }
-    v.replaces = !v.room && now >= in->next_open && spare_conn(in, s->account) != NULL;
+    v.can_replace = !v.share_has_room && now >= in->next_open_at &&
+                    replaceable_conn(in, s->account) != NULL;
     return v;
 }
 
-/* Connections that are on their way out make room soon: one for each that waits for it. */
-static int closing(const struct px_inst *in)
+/* The number of connections that are being closed, each of which makes room for one waiting
+ * session soon. */
+static int count_closing(const struct px_inst *in)
 {
     int k = 0;
     for (const struct px_conn *c = in->conns; c; c = c->next)
@@ -229,38 +238,38 @@
     return k;
 }
 
-static void replace(struct px_inst *in, const char *account)
+static void replace_conn(struct px_inst *in, const char *account)
 {
-    struct px_conn *c = spare_conn(in, account);
-    if (!c || closing(in) > opening(in))
-        return; /* the last one that was closed is not used yet */
+    struct px_conn *c = replaceable_conn(in, account);
+    if (!c || count_closing(in) > count_opening(in))
+        return; /* the room of the last closed connection is not used yet */
     in->replaced++;
     in->p->c.replaced_conns++;
     px_conn_close(c);
 }
 
-/* A connection that is being opened takes an instance's slot for as long as a statement, so it
- * counts as one in the window. Sixteen nodes that each opened eight at once after a loss of all
- * power filled an instance's queue with them, and 1,300 statements in 0.2 s were refused as
- * busy. Of those that wait the first that needs a connection gets it. */
+/* Opens a connection for the first waiting session that needs one. A connection that is being
+ * opened takes a slot of the instance for as long as a statement, so it counts as one in the
+ * window. When sixteen nodes opened eight each at once after a loss of all power, they filled
+ * an instance's queue, and 1,300 statements in 0.2 s were refused as busy. */
 static void open_for_waiters(struct px_inst *in, int64_t now)
 {
-    int out = opening(in);
+    int out = count_opening(in);
     if (out >= in->n_waiters || !px_window_open(&in->window, px_inst_running(in) + out, now))
         return;
     for (const struct px_session *s = in->waiters; s; s = s->wait_next) {
-        struct px_fit_view v = fit_view(in, s, now);
-        enum px_fit fit = px_fit(&v);
-        if (fit == PX_FIT_OPEN)
+        struct px_choice_view v = choice_view(in, s, now);
+        enum px_conn_choice choice = px_choose_conn(&v);
+        if (choice == PX_CHOICE_OPEN)
             px_conn_open(in, s->account);
-        else if (fit == PX_FIT_REPLACE)
-            replace(in, s->account);
-        if (fit == PX_FIT_OPEN || fit == PX_FIT_REPLACE)
+        else if (choice == PX_CHOICE_REPLACE)
+            replace_conn(in, s->account);
+        if (choice == PX_CHOICE_OPEN || choice == PX_CHOICE_REPLACE)
             return;
     }
 }
 
-void px_inst_take(struct px_inst *in, struct px_session *s)
+void px_inst_submit(struct px_inst *in, struct px_session *s)
 {
     bool open = px_window_open(&in->window, px_inst_running(in), ck_now());
     struct px_conn *c = open ? idle_conn(in, s) : NULL;
@@ -274,8 +283,8 @@
     open_for_waiters(in, ck_now());
 }
 
-/* The first of those that wait of whose account a connection is idle. */
-static struct px_session *next_served(const struct px_inst *in, struct px_conn **c)
+/* The first waiting session whose account has an idle connection, and that connection in *c. */
+static struct px_session *next_to_serve(const struct px_inst *in, struct px_conn **c)
 {
     for (struct px_session *s = in->waiters; s; s = s->wait_next) {
         *c = idle_conn(in, s);
@@ -285,14 +294,14 @@
     return NULL;
 }
 
-void px_inst_pump(struct px_inst *in)
+void px_inst_serve_waiters(struct px_inst *in)
 {
     while (in->waiters && px_window_open(&in->window, px_inst_running(in), ck_now())) {
         struct px_conn *c;
-        struct px_session *s = next_served(in, &c);
+        struct px_session *s = next_to_serve(in, &c);
         if (!s)
             break;
-        px_inst_unwait(in, s);
+        px_inst_dequeue(in, s);
         px_conn_run(c, s);
     }
     if (in->waiters)
@@ -301,13 +310,13 @@
 
 /* ---- suspicion ---- */
 
-void px_inst_suspect(struct px_inst *in, enum wr_health health)
+void px_inst_report_suspicion(struct px_inst *in, enum wr_health health)
 {
     int64_t now = ck_now();
-    bool primary = in->at == in->group->cfg.primary;
-    if (in->gone || !primary || now - in->told_at < SUSPECT_EVERY_US)
+    bool primary = in->index == in->group->cfg.primary;
+    if (in->removed || !primary || now - in->suspicion_sent_at < SUSPICION_INTERVAL_US)
         return;
-    in->told_at = now;
+    in->suspicion_sent_at = now;
     FL_EVENT(&in->p->log, LG_INFO, "instance_suspected", "instance=%s group=%s why=%s",
              in->cfg.id, in->group->cfg.name,
              health == WR_REFUSED ? "refuses"
@@ -316,34 +325,34 @@
     in->p->cfg.host.suspect(in->p->cfg.host.ud, in->cfg.id, health);
 }
 
-/* Something is out, for long, and nothing was heard meanwhile: an answer that was lost, or an
- * instance that is gone. A new connection tells. */
-static bool quiet(const struct px_inst *in)
+/* Whether a statement has been outstanding for long while nothing was received: its answer was
+ * lost, or the instance is down. A new connection is opened to find out. */
+static bool has_unanswered(const struct px_inst *in)
 {
-    int64_t heard = px_received_until(in->p);
+    int64_t received_until = px_received_until(in->p);
     for (const struct px_conn *c = in->conns; c; c = c->next) {
-        bool out = c->phase != PX_C_IDLE && c->phase != PX_C_RESTING;
-        if (out && heard - c->sent_at > QUIET_US && in->heard < c->sent_at)
+        bool out = c->phase != PX_C_IDLE && c->phase != PX_C_IDLE_IN_TXN;
+        if (out && received_until - c->sent_at > NO_ANSWER_US && in->last_received < c->sent_at)
             return true;
     }
     return false;
 }
 
-/* A connection is not greeted: nobody is there, or can be reached. */
-static bool silent(const struct px_inst *in)
+/* Whether a connection has no greeting in time: the instance is down or unreachable. */
+static bool has_no_greeting(const struct px_inst *in)
 {
-    int64_t heard = px_received_until(in->p);
+    int64_t received_until = px_received_until(in->p);
     for (const struct px_conn *c = in->conns; c; c = c->next) {
-        bool late = c->phase == PX_C_OPENING && heard - c->sent_at > SILENT_US;
-        if (late && in->heard < c->sent_at)
+        bool late = c->phase == PX_C_OPENING && received_until - c->sent_at > NO_GREETING_US;
+        if (late && in->last_received < c->sent_at)
             return true;
     }
     return false;
 }
 
-/* It fails much while another of its group does not: what fails everywhere is no reason to
- * change anything. */
-static bool fails_alone(const struct px_inst *in, int64_t now)
+/* Whether the instance fails while another of its group works. If all fail, replacing one would
+ * not help. */
+static bool is_outlier(const struct px_inst *in, int64_t now)
 {
     const struct px_group *g = in->group;
     if (!px_outlier_failing(&in->outlier, now))
@@ -356,28 +365,32 @@
     return false;
 }
 
-static void note_alone(struct px_inst *in, int64_t now)
+static void update_outlier(struct px_inst *in, int64_t now)
 {
-    if (!fails_alone(in, now))
-        in->alone_since = 0;
-    else if (!in->alone_since)
-        in->alone_since = now;
+    if (!is_outlier(in, now))
+        in->outlier_since = 0;
+    else if (!in->outlier_since)
+        in->outlier_since = now;
 }
 
-/* It has failed alone for so long that others, if they fail as well, would have shown it. */
-static bool outlived_doubt(const struct px_inst *in)
+/* Whether the instance has been an outlier for long enough that other failing instances would
+ * have been noticed. */
+static bool is_confirmed_outlier(const struct px_inst *in)
 {
-    return in->alone_since && px_received_until(in->p) - in->alone_since > ALONE_US;
+    return in->outlier_since &&
+           px_received_until(in->p) - in->outlier_since > OUTLIER_CONFIRM_US;
 }
 
-static bool is_behind(const struct px_inst *in, int64_t heard)
+static bool is_behind(const struct px_inst *in, int64_t received_until)
 {
-    return heard - in->behind_until < BEHIND_GAP_US && heard - in->served_at > BEHIND_GAP_US;
+    return received_until - in->behind_until < BEHIND_RECENT_US &&
+           received_until - in->read_served_at > BEHIND_RECENT_US;
 }
 
-static struct px_relief_view relief_view(const struct px_group *g)
+static struct px_handover_view handover_view(const struct px_group *g)
 {
-    struct px_relief_view v = {.refused_at = g->refused_at, .term_since = g->term_since};
+    struct px_handover_view v = {.wait_failed_at = g->wait_failed_at,
+                                 .term_began_at = g->term_began_at};
     for (int i = 0; i < g->cfg.n; i++) {
         if (i == g->cfg.primary || g->cfg.inst[i].draining)
             continue;
@@ -387,50 +400,51 @@
     return v;
 }
 
-/* The group's primary serves alone, and callers are refused for it. */
-static bool needs_relief(struct px_inst *in)
+/* Whether the group's primary serves alone and callers are refused because of that. */
+static bool needs_handover(struct px_inst *in)
 {
-    struct px_relief_view v = relief_view(in->group);
-    return px_relief_due(&in->group->relief, &v, px_received_until(in->p));
+    struct px_handover_view v = handover_view(in->group);
+    return px_handover_due(&in->group->handover, &v, px_received_until(in->p));
 }
 
-static bool serves_alone(const struct px_inst *in)
+static bool is_sole_server(const struct px_inst *in)
 {
-    struct px_relief_view v = relief_view(in->group);
-    return in->at == in->group->cfg.primary && px_relief_alone(&v);
+    struct px_handover_view v = handover_view(in->group);
+    return in->index == in->group->cfg.primary && px_primary_serves_alone(&v);
 }
 
 enum wr_health px_instance_health(const struct px_proxy *p, struct sr_str id)
 {
-    const struct px_inst *in = px_inst(p, id);
+    const struct px_inst *in = px_find_inst(p, id);
     int64_t now = ck_now();
     if (!in)
         return WR_UNKNOWN;
-    if (in->refused_at)
+    if (in->connect_failed_at)
         return WR_REFUSED;
-    if (silent(in) || outlived_doubt(in))
+    if (has_no_greeting(in) || is_confirmed_outlier(in))
         return WR_SILENT;
-    if (in->unfit)
+    if (in->wants_handover)
         return WR_UNFIT;
     if (px_outlier_failing(&in->outlier, now))
-        return WR_UNKNOWN; /* no better one is known */
-    if (serves_alone(in))
+        return WR_UNKNOWN; /* no other instance of the group is known to work */
+    if (is_sole_server(in))
         return WR_UNKNOWN;
-    return now - in->heard < FRESH_US ? WR_OK : WR_UNKNOWN;
+    return now - in->last_received < HEALTH_FRESH_US ? WR_OK : WR_UNKNOWN;
 }
 
 /* ---- time ---- */
 
-/* Above the share: idle ones go first. An instance that leaves keeps none. */
-static void shed(struct px_inst *in)
+/* Closes idle connections beyond the share; all of them if the instance drains or was removed.
+ */
+static void close_excess(struct px_inst *in)
 {
-    int keep = in->cfg.draining || in->gone ? 0 : in->share;
-    int over = in->n_conns - keep;
-    for (struct px_conn *c = in->conns; c && over > 0; c = c->next) {
+    int keep = in->cfg.draining || in->removed ? 0 : in->share;
+    int excess = in->n_conns - keep;
+    for (struct px_conn *c = in->conns; c && excess > 0; c = c->next) {
         if (c->phase != PX_C_IDLE || c->closing)
             continue;
         px_conn_close(c);
-        over--;
+        excess--;
     }
 }
 
@@ -438,49 +452,50 @@
 {
     for (struct px_conn *c = in->conns; c; c = c->next)
         px_conn_tick(c, now);
-    shed(in);
-    px_inst_pump(in);
+    close_excess(in);
+    px_inst_serve_waiters(in);
     open_for_waiters(in, now);
-    if (in->wants_first && in->n_conns == 0 && px_inst_has_room(in, now))
+    if (in->wants_first_conn && in->n_conns == 0 && px_inst_has_room(in, now))
         px_conn_open(in, in->p->cfg.name);
-    /* One more than the share, to learn whether it is there: refused, it is. */
-    bool ask = in->asks || quiet(in);
-    in->asks = false;
-    if (ask && opening(in) == 0 && now >= in->next_open && !in->gone)
+    /* This connection may exceed the share by one. It only shows whether the instance is alive;
+     * a refusal shows that as well. */
+    bool probe = in->wants_probe || has_unanswered(in);
+    in->wants_probe = false;
+    if (probe && count_opening(in) == 0 && now >= in->next_open_at && !in->removed)
         px_conn_open(in, in->waiters ? in->waiters->account : in->last_account);
-    note_alone(in, now);
-    bool leads = !in->gone && in->at == in->group->cfg.primary;
-    in->unfit = leads && needs_relief(in);
-    if (silent(in) || outlived_doubt(in))
-        px_inst_suspect(in, WR_SILENT);
-    else if (in->unfit)
-        px_inst_suspect(in, WR_UNFIT);
+    update_outlier(in, now);
+    bool is_primary = !in->removed && in->index == in->group->cfg.primary;
+    in->wants_handover = is_primary && needs_handover(in);
+    if (has_no_greeting(in) || is_confirmed_outlier(in))
+        px_inst_report_suspicion(in, WR_SILENT);
+    else if (in->wants_handover)
+        px_inst_report_suspicion(in, WR_UNFIT);
 }
 
 /* ---- end ---- */
 
-void px_inst_gone(struct px_inst *in)
+void px_inst_remove(struct px_inst *in)
 {
-    in->gone = true;
-    in->next_gone = in->p->removed_insts;
+    in->removed = true;
+    in->next_removed = in->p->removed_insts;
     in->p->removed_insts = in;
     while (in->waiters) {
         struct px_session *s = in->waiters;
-        px_inst_unwait(in, s);
+        px_inst_dequeue(in, s);
         px_park(s, ck_now());
     }
-    shed(in);
-    px_inst_maybe_free(in);
+    close_excess(in);
+    px_inst_free_if_removed(in);
 }
 
-void px_inst_maybe_free(struct px_inst *in)
+void px_inst_free_if_removed(struct px_inst *in)
 {
     struct px_inst **at = &in->p->removed_insts;
-    if (!in->gone || in->n_conns > 0)
+    if (!in->removed || in->n_conns > 0)
         return;
     while (*at && *at != in)
-        at = &(*at)->next_gone;
+        at = &(*at)->next_removed;
     if (*at)
-        *at = in->next_gone;
+        *at = in->next_removed;
     free(in);
 }
--- a/proxy/relay.c
+++ b/proxy/relay.c
@@ -100,7 +100,7 @@
         return true;
     if (g->held && px_has_accounts(s->p))
         return !px_serves_account(s, g);
-    return !g->held || (!g->first && !px_reaches(g));
+    return !g->held || (!g->connects_first && !px_reaches_primary(g));
 }
 
 /* ---- the other node ---- */
@@ -110,7 +110,7 @@
 static void drop_tries(struct px_relay *r)
 {
     for (int k = 0; k < r->tried.n; k++)
-        px_neighbor_drop(r->tried.nb[k]);
+        px_neighbor_unref(r->tried.nb[k]);
     r->tried.n = 0;
 }
 
@@ -273,7 +273,7 @@
     p->c.relayed_by_others += r->by_other;
     p->c.passed_on += r->s->relayed_to_us;
     if (r->by_other)
-        r->nb->passed_at = ck_now();
+        r->nb->passed_on_at = ck_now();
     send_early(r);
 }
 
@@ -281,7 +281,7 @@
 {
     struct px_relay *r = ud;
     struct sr_str last;
-    nb_heard(&r->nb->b, ck_now());
+    nb_received(&r->nb->status, ck_now());
     if (r->left)
         return; /* what it answers now the caller was told of already */
     sr_buf_add(&r->in, data, len);
@@ -313,17 +313,17 @@
 {
     int64_t now = ck_now();
     if (r->by_other)
-        nb_refused(&r->nb->b, NO_WAY_US, now);
+        nb_session_refused(&r->nb->status, NO_WAY_US, now);
     else if (!opened || r->late)
-        nb_doubt(&r->nb->b, now);
+        nb_doubt(&r->nb->status, now);
     else
-        nb_refused(&r->nb->b, REFUSED_US, now);
+        nb_session_refused(&r->nb->status, REFUSED_US, now);
 }
 
 /* The connection is gone, and the session there with it. */
 static void lost(struct px_relay *r)
 {
-    nb_doubt(&r->nb->b, ck_now());
+    nb_doubt(&r->nb->status, ck_now());
     if (r->left || !r->s->net || r->s->end_sent_at)
         return;
     if (r->asked) {
@@ -386,7 +386,7 @@
         return;
     }
     const struct ho_node *node = &p->nodes[to.node];
-    r->nb = px_neighbor_take(p, node);
+    r->nb = px_neighbor_ref(p, node);
     r->tried.nb[r->tried.n++] = r->nb;
     r->by_other = to.passes_on;
     r->late = false;
@@ -395,7 +395,7 @@
     r->in.len = 0;
     r->began = now;
     r->net = nt_connect_stream(p->loop, node->ip, node->port, &ops, r);
-    px_meter(p, r->net, PX_TO_NODE, node->domain);
+    px_meter(p, r->net, PX_PEER_NODE, node->domain);
 }
 
 /* ---- the session's side ---- */
@@ -441,7 +441,7 @@
         sr_buf_add(&s->in, data, len);
         return;
     }
-    if (r->greeted && r->nb->b.state == NB_SILENT && !r->asked) {
+    if (r->greeted && r->nb->status.state == NB_SILENT && !r->asked) {
         unsent(r, data, len);
         return;
     }
@@ -487,7 +487,7 @@
         if (px_pending_harmless(&r->q) ||
             px_received_until(s->p) - r->asked_at > longest_wait(s))
             tell_unanswered(r, true, PX_END_HOLDER_SILENT);
-    } else if (r->rests && now - r->nb->b.silent_at > px_stagger_us(s, MOVE_OVER_US)) {
+    } else if (r->rests && now - r->nb->status.silent_since > px_stagger_us(s, MOVE_OVER_US)) {
         leave(r, PX_END_HOLDER_SILENT);
     }
 }
@@ -497,15 +497,15 @@
     if (r->left || !r->s->net)
         return;
     if (r->asked)
-        nb_waits(&r->nb->b, r->asked_at, px_received_until(r->s->p));
-    if (r->nb->b.state == NB_SILENT)
+        nb_unanswered(&r->nb->status, r->asked_at, px_received_until(r->s->p));
+    if (r->nb->status.state == NB_SILENT)
         leave_silent(r, now);
 }
 
 static void greeting_late(struct px_relay *r, int64_t now)
 {
     struct px_proxy *p = r->s->p;
-    if (px_disconnected(p) && !px_any_passes_on(p, now))
+    if (px_disconnected(p) && !px_any_neighbor_passes_on(p, now))
         p->isolated_until = now + ISOLATED_US;
     r->late = true;
     nt_close(r->net, true);
@@ -528,7 +528,7 @@
     }
     int64_t heard = px_received_until(s->p);
     if (!r->by_other)
-        nb_waits(&r->nb->b, r->began, heard);
-    if (heard - r->began > GREET_US || r->nb->b.state == NB_SILENT)
+        nb_unanswered(&r->nb->status, r->began, heard);
+    if (heard - r->began > GREET_US || r->nb->status.state == NB_SILENT)
         greeting_late(r, now);
 }
--- a/proxy/targets.c
+++ b/proxy/targets.c
@@ -130,7 +130,7 @@
 /* Whether this session may look for a node that passes it on: it is at it, or it is time. */
 static bool may_seek(struct px_proxy *p, bool seeks, int64_t now)
 {
-    if (seeks || px_any_passes_on(p, now))
+    if (seeks || px_any_neighbor_passes_on(p, now))
         return true;
     if (now - p->last_seek_at < SEEK_EVERY_US)
         return false;
@@ -143,7 +143,7 @@
 struct px_group *px_database_group(const struct px_session *s)
 {
     const struct cg_route *r = cg_route(&s->p->catalog, sr_from(s->database));
-    return r ? px_group(s->p, r->group) : NULL;
+    return r ? px_find_group(s->p, r->group) : NULL;
 }
 
 struct px_target px_next_target(const struct px_session *s, const struct px_tried_nodes *t,
--- a/tests/unit/test_lease.c
+++ b/tests/unit/test_lease.c
@@ -13,12 +13,12 @@
 static void holder_counts_from_the_sending(void)
 {
     struct ls_holder h = {0};
-    uint64_t a = ls_sent(&h, CK_MS(100));
+    uint64_t a = ls_renewal_sent(&h, CK_MS(100));
     ls_granted(&h, a, LEASE);
     CU_ASSERT_TRUE(ls_live(&h, CK_MS(2000)));
     CU_ASSERT_FALSE(ls_live(&h, CK_MS(2090))); /* drift allowance */
-    for (int i = 0; i < LS_OUTSTANDING; i++)
-        ls_sent(&h, CK_SEC(10));
+    for (int i = 0; i < LS_MAX_OUTSTANDING; i++)
+        ls_renewal_sent(&h, CK_SEC(10));
     ls_granted(&h, a, LEASE * 100); /* too old to know when it was asked for */
     CU_ASSERT_FALSE(ls_live(&h, CK_SEC(10)));
     ls_granted(&h, h.seq + 1, LEASE); /* never asked for */
@@ -31,11 +31,11 @@
     struct rn_rng rng = rn_seed(5);
     for (int i = 0; i < 1000; i++) {
         struct ls_holder h = {0};
-        static struct ls_giver g;
-        ls_giver_begin(&g, LEASE, 0, true);
+        static struct ls_grantor g;
+        ls_grantor_begin(&g, LEASE, 0, true);
         int64_t sent = (int64_t)rn_below(&rng, 1000000);
         int64_t granted = sent + (int64_t)rn_below(&rng, 500000);
-        uint64_t seq = ls_sent(&h, sent);
+        uint64_t seq = ls_renewal_sent(&h, sent);
         ls_granted(&h, seq, ls_grant(&g, 1, INT64_MAX, granted));
         CU_ASSERT_TRUE(ls_node_live(&g, 1, h.until));
     }
@@ -43,35 +43,35 @@
 
 static void no_grant_without_a_quorum(void)
 {
-    static struct ls_giver g;
-    ls_giver_begin(&g, LEASE, 0, true);
+    static struct ls_grantor g;
+    ls_grantor_begin(&g, LEASE, 0, true);
     CU_ASSERT_EQUAL(ls_grant(&g, 1, CK_MS(100), CK_MS(100)), 0);
     CU_ASSERT_EQUAL(ls_grant(&g, 1, CK_MS(100), CK_MS(99)), LEASE);
 }
 
 static void dropped_by_all_or_run_out(void)
 {
-    static struct ls_giver g;
-    ls_giver_begin(&g, LEASE, 0, true);
+    static struct ls_grantor g;
+    ls_grantor_begin(&g, LEASE, 0, true);
     ls_grant(&g, 1, INT64_MAX, 0);
     ls_grant(&g, 2, INT64_MAX, 0);
     ls_acked(&g, 1, 7);
-    CU_ASSERT_FALSE(ls_all_have(&g, 7, CK_MS(10)));
+    CU_ASSERT_FALSE(ls_all_applied(&g, 7, CK_MS(10)));
     ls_acked(&g, 2, 6);
-    CU_ASSERT_FALSE(ls_all_have(&g, 7, CK_MS(10)));
-    CU_ASSERT_TRUE(ls_all_have(&g, 7, CK_MS(2021))); /* node 2's ran out, with drift */
-    CU_ASSERT_FALSE(ls_all_have(&g, 7, CK_MS(2019)));
+    CU_ASSERT_FALSE(ls_all_applied(&g, 7, CK_MS(10)));
+    CU_ASSERT_TRUE(ls_all_applied(&g, 7, CK_MS(2021))); /* node 2's ran out, with drift */
+    CU_ASSERT_FALSE(ls_all_applied(&g, 7, CK_MS(2019)));
     ls_acked(&g, 2, 7);
-    CU_ASSERT_TRUE(ls_all_have(&g, 7, CK_MS(10)));
+    CU_ASSERT_TRUE(ls_all_applied(&g, 7, CK_MS(10)));
 }
 
 /* A new leader does not know whom the last one gave leases. */
 static void earlier_leaders_leases_count(void)
 {
-    static struct ls_giver g;
-    ls_giver_begin(&g, LEASE, CK_SEC(5), false);
-    CU_ASSERT_FALSE(ls_all_have(&g, 1, CK_SEC(6)));
-    CU_ASSERT_TRUE(ls_all_have(&g, 1, CK_MS(7021)));
+    static struct ls_grantor g;
+    ls_grantor_begin(&g, LEASE, CK_SEC(5), false);
+    CU_ASSERT_FALSE(ls_all_applied(&g, 1, CK_SEC(6)));
+    CU_ASSERT_TRUE(ls_all_applied(&g, 1, CK_MS(7021)));
 }
 
 void lease_suite(void)
@@ -93,7 +93,7 @@
     static uint64_t msg;
     sh_report(&t, "i", node, held, want, seq, now + LEASE, now);
     sh_balance(&t, "i", now);
-    return sh_tell(&t, "i", node, ++msg);
+    return sh_target_to_send(&t, "i", node, ++msg);
 }
 
 static void fresh(int64_t quiet_until)
@@ -178,15 +178,15 @@
 static void only_changes_are_told(void)
 {
     fresh(0);
-    CU_ASSERT_FALSE(sh_untold(&t, "i", 1));
+    CU_ASSERT_FALSE(sh_has_unsent_target(&t, "i", 1));
     sh_report(&t, "i", 1, 0, 5, 0, LEASE, 0);
     sh_balance(&t, "i", 0);
-    CU_ASSERT_TRUE(sh_untold(&t, "i", 1));
-    CU_ASSERT_EQUAL(sh_tell(&t, "i", 1, 1), 5);
-    CU_ASSERT_FALSE(sh_untold(&t, "i", 1));
+    CU_ASSERT_TRUE(sh_has_unsent_target(&t, "i", 1));
+    CU_ASSERT_EQUAL(sh_target_to_send(&t, "i", 1, 1), 5);
+    CU_ASSERT_FALSE(sh_has_unsent_target(&t, "i", 1));
     sh_report(&t, "i", 1, 5, 5, 1, LEASE, 0);
     sh_balance(&t, "i", 0);
-    CU_ASSERT_FALSE(sh_untold(&t, "i", 1));
+    CU_ASSERT_FALSE(sh_has_unsent_target(&t, "i", 1));
 }
 
 /* Random nodes that obey with delays, die and come back, and leaders that change: the truth,
@@ -253,8 +253,8 @@
             sh_report(&t, "i", x->id, x->cap, (int)rn_below(&rng, 30), x->applied,
                       now + LEASE * 101 / 100, now);
             sh_balance(&t, "i", now);
-            if (!x->told || sh_untold(&t, "i", x->id)) {
-                int cap = sh_tell(&t, "i", x->id, ++seq);
+            if (!x->told || sh_has_unsent_target(&t, "i", x->id)) {
+                int cap = sh_target_to_send(&t, "i", x->id, ++seq);
                 x->mail[x->n_mail].cap = cap;
                 x->mail[x->n_mail++].seq = seq;
                 x->told = true;
@@ -270,14 +270,14 @@
 static void what_was_given_up_is_named_a_few_times_more(void)
 {
     int left = 0, more = 0;
-    CU_ASSERT_FALSE(sh_to_name(&left, 0, 0)); /* never held */
-    CU_ASSERT_TRUE(sh_to_name(&left, 0, 1));
-    CU_ASSERT_TRUE(sh_to_name(&left, 1, 0));
-    while (more < 10 && sh_to_name(&left, 0, 0))
+    CU_ASSERT_FALSE(sh_name_in_renewal(&left, 0, 0)); /* never held */
+    CU_ASSERT_TRUE(sh_name_in_renewal(&left, 0, 1));
+    CU_ASSERT_TRUE(sh_name_in_renewal(&left, 1, 0));
+    while (more < 10 && sh_name_in_renewal(&left, 0, 0))
         more++;
     CU_ASSERT_EQUAL(more, 3);
-    CU_ASSERT_FALSE(sh_to_name(&left, 0, 0));
-    CU_ASSERT_TRUE(sh_to_name(&left, 1, 1));
+    CU_ASSERT_FALSE(sh_name_in_renewal(&left, 0, 0));
+    CU_ASSERT_TRUE(sh_name_in_renewal(&left, 1, 1));
 }
 
 void shares_suite(void)
--- a/tests/unit/test_proxy.c
+++ b/tests/unit/test_proxy.c
@@ -4,8 +4,8 @@
 
 #include "misc/clock.h"
 #include "proxy/outlier.h"
-#include "proxy/place.h"
-#include "proxy/relief.h"
+#include "proxy/read_choice.h"
+#include "proxy/handover.h"
 #include "proxy/state.h"
 #include "proxy/window.h"
 #include "tests/unit/unit.h"
@@ -16,8 +16,8 @@
 {
     return (struct px_candidate){.usable = true,
                                  .primary = primary,
-                                 .free_conn = true,
-                                 .waiting = waiting,
+                                 .has_conn = true,
+                                 .outstanding = waiting,
                                  .service_us = 20000};
 }
 
@@ -26,11 +26,12 @@
     struct rn_rng rng = rn_seed(1);
     struct ps_pos none = {0};
     struct px_candidate c[3] = {at(true, 0), at(false, 0), at(false, 3)};
-    CU_ASSERT_EQUAL(px_place(c, 3, false, none, 0, &rng), 1);
-    c[1].waiting = 8;
-    CU_ASSERT_EQUAL(px_place(c, 3, false, none, 0, &rng), 0); /* the primary serves reads too */
+    CU_ASSERT_EQUAL(px_choose_instance(c, 3, false, none, 0, &rng), 1);
+    c[1].outstanding = 8;
+    CU_ASSERT_EQUAL(px_choose_instance(c, 3, false, none, 0, &rng),
+                    0); /* the primary serves reads too */
     c[0].usable = c[1].usable = c[2].usable = false;
-    CU_ASSERT_EQUAL(px_place(c, 3, false, none, 0, &rng), -1);
+    CU_ASSERT_EQUAL(px_choose_instance(c, 3, false, none, 0, &rng), -1);
 }
 
 /* The near one is asked while it is about as fast, whatever statements take; not where it is
@@ -45,14 +46,14 @@
         c[0].service_us = c[1].service_us = takes[i];
         c[1].distance = 1;
         for (int k = 0; k < 50; k++)
-            CU_ASSERT_EQUAL(px_place(c, 2, false, none, 0, &rng), 0);
+            CU_ASSERT_EQUAL(px_choose_instance(c, 2, false, none, 0, &rng), 0);
         c[0].fail_rate = 0.5;
         for (int k = 0; k < 50; k++)
-            CU_ASSERT_EQUAL(px_place(c, 2, false, none, 0, &rng), 1);
+            CU_ASSERT_EQUAL(px_choose_instance(c, 2, false, none, 0, &rng), 1);
         c[0].fail_rate = 0;
-        c[0].waiting = takes[i] < 800 ? 12 : 4; /* a trip takes time, too */
+        c[0].outstanding = takes[i] < 800 ? 12 : 4; /* a trip takes time, too */
         for (int k = 0; k < 50; k++)
-            CU_ASSERT_EQUAL(px_place(c, 2, false, none, 0, &rng), 1);
+            CU_ASSERT_EQUAL(px_choose_instance(c, 2, false, none, 0, &rng), 1);
     }
 }
 
@@ -63,18 +64,18 @@
     struct rn_rng rng = rn_seed(1);
     struct ps_pos floor = {3, 100};
     struct px_candidate c[2] = {at(true, 5), at(false, 0)};
-    c[1].known = (struct ps_pos){3, 99};
+    c[1].known_pos = (struct ps_pos){3, 99};
     c[1].behind_until = 1000;
-    CU_ASSERT_EQUAL(px_place(c, 2, true, floor, 999, &rng), 0);
-    CU_ASSERT_EQUAL(px_place(c, 2, true, floor, 1000, &rng), 1);
-    c[1].known.pos = 100;
-    CU_ASSERT_EQUAL(px_place(c, 2, true, floor, 999, &rng), 1);
-    c[1].known.pos = 99;
+    CU_ASSERT_EQUAL(px_choose_instance(c, 2, true, floor, 999, &rng), 0);
+    CU_ASSERT_EQUAL(px_choose_instance(c, 2, true, floor, 1000, &rng), 1);
+    c[1].known_pos.pos = 100;
+    CU_ASSERT_EQUAL(px_choose_instance(c, 2, true, floor, 999, &rng), 1);
+    c[1].known_pos.pos = 99;
     floor.pos = 99;
-    CU_ASSERT_EQUAL(px_place(c, 2, true, floor, 999, &rng), 1);
+    CU_ASSERT_EQUAL(px_choose_instance(c, 2, true, floor, 999, &rng), 1);
     floor.pos = 100;
     c[0].usable = false; /* nobody else: it waits rather than asks in vain */
-    CU_ASSERT_EQUAL(px_place(c, 2, true, floor, 999, &rng), -1);
+    CU_ASSERT_EQUAL(px_choose_instance(c, 2, true, floor, 999, &rng), -1);
 }
 
 /* ---- instances that fail ---- */
@@ -84,26 +85,26 @@
     struct px_outlier o = {0};
     int64_t now = 1000000;
     for (int i = 0; i < 400; i++) /* one lost answer in forty */
-        px_outlier_note(&o, i % 40 != 0, now += 10000);
+        px_outlier_record(&o, i % 40 != 0, now += 10000);
     CU_ASSERT_FALSE(px_outlier_failing(&o, now));
     for (int i = 0; i < 3; i++)
-        px_outlier_note(&o, false, now);
+        px_outlier_record(&o, false, now);
     CU_ASSERT_FALSE(px_outlier_failing(&o, now)); /* three of many */
     for (int i = 0; i < 10000; i++)
-        px_outlier_note(&o, true, now);
+        px_outlier_record(&o, true, now);
     for (int i = 0; i < 40; i++) /* a busy past excuses nothing */
-        px_outlier_note(&o, i % 2 == 0, now);
+        px_outlier_record(&o, i % 2 == 0, now);
     CU_ASSERT_TRUE(px_outlier_failing(&o, now));
     o = (struct px_outlier){0};
-    px_outlier_note(&o, false, now);
+    px_outlier_record(&o, false, now);
     CU_ASSERT_FALSE(px_outlier_failing(&o, now) || px_outlier_sound(&o, now)); /* too few */
     for (int i = 0; i < 20; i++)                                               /* two in five */
-        px_outlier_note(&o, i % 5 > 1, now += 100000);
+        px_outlier_record(&o, i % 5 > 1, now += 100000);
     CU_ASSERT_TRUE(px_outlier_failing(&o, now));
     now += 10000000; /* asked no more, it is trusted again */
     CU_ASSERT_FALSE(px_outlier_failing(&o, now) || px_outlier_sound(&o, now));
     for (int i = 0; i < 3; i++)
-        px_outlier_note(&o, true, now);
+        px_outlier_record(&o, true, now);
     CU_ASSERT_TRUE(px_outlier_sound(&o, now));
 }
 
@@ -113,37 +114,37 @@
     struct ps_pos none = {0};
     struct px_candidate c[3] = {at(true, 9), at(false, 0), at(false, 2)};
     c[1].fail_rate = 0.5;
-    CU_ASSERT_EQUAL(px_place(c, 3, false, none, 0, &rng), 2);
-    c[2].waiting = 9; /* so full that a failure costs less */
-    CU_ASSERT_EQUAL(px_place(c, 3, false, none, 0, &rng), 1);
+    CU_ASSERT_EQUAL(px_choose_instance(c, 3, false, none, 0, &rng), 2);
+    c[2].outstanding = 9; /* so full that a failure costs less */
+    CU_ASSERT_EQUAL(px_choose_instance(c, 3, false, none, 0, &rng), 1);
     c[0].usable = c[1].usable = false;
     c[2].fail_rate = 1; /* nobody else */
-    CU_ASSERT_EQUAL(px_place(c, 3, false, none, 0, &rng), 2);
+    CU_ASSERT_EQUAL(px_choose_instance(c, 3, false, none, 0, &rng), 2);
 }
 
 /* ---- a primary that serves alone ---- */
 
 static void a_lone_primary_is_relieved(void)
 {
-    struct px_relief r = {0};
+    struct px_handover r = {0};
     int64_t now = CK_SEC(100);
-    struct px_relief_view v = {.replicas = 2, .behind = 2, .term_since = CK_SEC(1)};
-    CU_ASSERT_FALSE(px_relief_due(&r, &v, now)); /* nobody is refused */
+    struct px_handover_view v = {.replicas = 2, .behind = 2, .term_began_at = CK_SEC(1)};
+    CU_ASSERT_FALSE(px_handover_due(&r, &v, now)); /* nobody is refused */
     for (int i = 0; i < 5; i++) {
-        v.refused_at = now += 100000;
-        CU_ASSERT_FALSE(px_relief_due(&r, &v, now)); /* not long enough */
+        v.wait_failed_at = now += 100000;
+        CU_ASSERT_FALSE(px_handover_due(&r, &v, now)); /* not long enough */
     }
-    v.refused_at = now += 100000;
-    CU_ASSERT_TRUE(px_relief_due(&r, &v, now));
-    v.term_since = now - CK_SEC(3);
-    CU_ASSERT_FALSE(px_relief_due(&r, &v, now)); /* it leads for a short time only */
-    v.term_since = CK_SEC(1);
+    v.wait_failed_at = now += 100000;
+    CU_ASSERT_TRUE(px_handover_due(&r, &v, now));
+    v.term_began_at = now - CK_SEC(3);
+    CU_ASSERT_FALSE(px_handover_due(&r, &v, now)); /* it leads for a short time only */
+    v.term_began_at = CK_SEC(1);
     v.behind = 1;
-    CU_ASSERT_FALSE(px_relief_due(&r, &v, now)); /* one replica serves */
+    CU_ASSERT_FALSE(px_handover_due(&r, &v, now)); /* one replica serves */
     v.behind = 2;
-    CU_ASSERT_FALSE(px_relief_due(&r, &v, now)); /* and it begins anew */
+    CU_ASSERT_FALSE(px_handover_due(&r, &v, now)); /* and it begins anew */
     v.replicas = v.behind = 0;
-    CU_ASSERT_FALSE(px_relief_due(&r, &v, now + CK_SEC(9))); /* nobody could take over */
+    CU_ASSERT_FALSE(px_handover_due(&r, &v, now + CK_SEC(9))); /* nobody could take over */
 }
 
 /* Load: both replicas of a group are far behind, its primary alone serves what 16 nodes bring
@@ -153,7 +154,7 @@
 static void nodes_that_share_the_refusals_agree(void)
 {
     enum { NODES_HERE = 16, REFUSED_A_SECOND = 20, ROUNDS_A_SECOND = 10, WITHIN_ROUNDS = 20 };
-    struct px_relief r[NODES_HERE] = {{0}};
+    struct px_handover r[NODES_HERE] = {{0}};
     int64_t refused_at[NODES_HERE] = {0}, now = CK_SEC(100);
     struct rn_rng rng = rn_seed(5);
     int agreed = 0;
@@ -163,16 +164,17 @@
         for (int k = 0; k < REFUSED_A_SECOND / ROUNDS_A_SECOND; k++)
             refused_at[rn_below(&rng, NODES_HERE)] = now;
         for (int i = 0; i < NODES_HERE; i++) {
-            struct px_relief_view v = {2, 2, refused_at[i], CK_SEC(1)};
-            bool due = px_relief_due(&r[i], &v, now);
+            struct px_handover_view v = {2, 2, refused_at[i], CK_SEC(1)};
+            bool due = px_handover_due(&r[i], &v, now);
             unfit += due;
-            up += !due && !px_relief_alone(&v);
+            up += !due && !px_primary_serves_alone(&v);
         }
         agreed = unfit > up ? round : 0;
     }
     CU_ASSERT(agreed > 0);
-    struct px_relief_view one_serves = {2, 1, now, CK_SEC(1)};
-    CU_ASSERT_FALSE(px_relief_alone(&one_serves)); /* that node says that the primary is well */
+    struct px_handover_view one_serves = {2, 1, now, CK_SEC(1)};
+    CU_ASSERT_FALSE(
+        px_primary_serves_alone(&one_serves)); /* that node says that the primary is well */
 }
 
 /* ---- a session's state ---- */
@@ -270,29 +272,29 @@
     int64_t now = 1000000;
     px_window_init(&w);
     for (int i = 0; i < 400; i++) /* calm: it widens while it is used, and only then */
-        px_window_done(&w, 15000, 63, now += 5000);
+        px_window_answered(&w, 15000, 63, now += 5000);
     CU_ASSERT_TRUE(w.size > 16);
     double wide = w.size;
     for (int i = 0; i < 400; i++)
-        px_window_done(&w, 15000, 1, now += 5000);
+        px_window_answered(&w, 15000, 1, now += 5000);
     CU_ASSERT_EQUAL(w.size, wide);
-    px_window_full(&w, now);
+    px_window_queue_full(&w, now);
     double once = w.size;
     CU_ASSERT_TRUE(once < wide);
-    px_window_full(&w, now + 1); /* once a round trip */
+    px_window_queue_full(&w, now + 1); /* once a round trip */
     CU_ASSERT_EQUAL(w.size, once);
     for (int i = 0; i < 100; i++)
-        px_window_full(&w, now += 100000);
+        px_window_queue_full(&w, now += 100000);
     CU_ASSERT_TRUE(w.size > 0 && w.size < 1);
-    px_window_done(&w, 15000, 0, now); /* one, then a pause */
+    px_window_answered(&w, 15000, 0, now); /* one, then a pause */
     CU_ASSERT_FALSE(px_window_open(&w, 0, now) || px_window_open(&w, 1, now + 1000000));
     CU_ASSERT_TRUE(px_window_open(&w, 0, now + 1000000));
     px_window_init(&w);
     for (int i = 0; i < 400; i++)
-        px_window_done(&w, 15000, 63, now += 5000);
+        px_window_answered(&w, 15000, 63, now += 5000);
     CU_ASSERT_TRUE(w.size > 8);
     for (int i = 0; i < 400; i++) /* slow by queueing */
-        px_window_done(&w, 90000, 63, now += 90000);
+        px_window_answered(&w, 90000, 63, now += 90000);
     CU_ASSERT_TRUE(w.size < 4);
 }
 
@@ -312,7 +314,7 @@
     }
     CU_ASSERT(sent >= SLOTS && sent <= SLOTS + QUEUE);
     for (int i = 0; i < ANSWERS; i++)
-        px_window_done(&w[0], 15000, (int)w[0].size - 1, now += 15000);
+        px_window_answered(&w[0], 15000, (int)w[0].size - 1, now += 15000);
     CU_ASSERT_TRUE(px_window_open(&w[0], 2, now));
 }
 
--- a/tests/unit/test_push.c
+++ b/tests/unit/test_push.c
@@ -1,5 +1,5 @@
 /* Views on their way to 300 nodes over one link, and the heartbeats that share it. */
-#include "control/turn.h"
+#include "control/pending_view.h"
 #include "lease/lease.h"
 #include "misc/clock.h"
 #include "misc/pack.h"
@@ -181,23 +181,23 @@
     struct vp_pace p = {0};
     int lost = 0;
     for (int i = 0; i < LOSING; i++) { /* node i is the i-th of those in line */
-        struct tu_turn turn = {0};
+        struct pv_pending_view turn = {0};
         struct ls_holder h = {0};
         int64_t sent_at = 0, ahead = i, now = CK_SEC(1);
         bool live = true;
         p = (struct vp_pace){0};
-        ls_granted(&h, ls_sent(&h, now - (i % 4) * RENEW_US / 4), LEASE_US);
+        ls_granted(&h, ls_renewal_sent(&h, now - (i % 4) * RENEW_US / 4), LEASE_US);
         for (int64_t tick = 0; live && tick < LEASE_US * 2; tick += TICK_US) {
             int64_t t = now + tick;
             vp_tick(&p, 0, BOUND_US, t);
             for (; ahead > 0 && vp_may(&p); ahead--)
                 vp_spent(&p, VIEW);
-            if (!sent_at && tu_take(&turn, &p, t))
+            if (!sent_at && pv_try_send(&turn, &p, t))
                 sent_at = t;
             bool has = sent_at && t >= sent_at + LATER_US;
-            bool older = !sent_at && kept && tu_keeps_lease(&turn, LEASE_US, t);
+            bool older = !sent_at && kept && pv_keeps_lease(&turn, LEASE_US, t);
             if (tick % RENEW_US == 0 && (has || older))
-                ls_granted(&h, ls_sent(&h, t), LEASE_US);
+                ls_granted(&h, ls_renewal_sent(&h, t), LEASE_US);
             live = ls_live(&h, t);
         }
         lost += !live;
@@ -211,34 +211,34 @@
 {
     CU_ASSERT_EQUAL(leases_lost(true), 0);
     CU_ASSERT(leases_lost(false) > 0);
-    struct tu_turn t = {true, CK_SEC(1)};
+    struct pv_pending_view t = {true, CK_SEC(1)};
     CU_ASSERT_FALSE(
-        tu_keeps_lease(&t, CK_SEC(1), CK_SEC(2))); /* a node that is never reached */
+        pv_keeps_lease(&t, CK_SEC(1), CK_SEC(2))); /* a node that is never reached */
 }
 
 /* Views that `instances` coming evenly within `within_us` cost, and the longest that one of
  * them waited to go out. */
 static int news_of(int instances, int nodes, int64_t within_us, int64_t *longest)
 {
-    struct vp_news w = {0};
+    struct vp_batch w = {0};
     int pushes = 0, came = 0;
     int64_t oldest = 0;
     *longest = 0;
     for (int64_t t = 0; t < within_us + CK_SEC(1); t += TICK_US) {
-        if (vp_news_due(&w, nodes, t)) {
+        if (vp_batch_due(&w, nodes, t)) {
             *longest = t - oldest > *longest ? t - oldest : *longest;
             pushes++;
         }
         while (came < instances && within_us * came / instances <= t) {
-            bool waited = w.waits;
-            if (vp_changed(&w, true, nodes, t))
+            bool waited = w.pending;
+            if (vp_batch_add(&w, true, nodes, t))
                 pushes++;
             else if (!waited)
                 oldest = t;
             came++;
         }
     }
-    CU_ASSERT_FALSE(w.waits);
+    CU_ASSERT_FALSE(w.pending);
     return pushes * nodes;
 }
 
@@ -262,13 +262,13 @@
 /* One that comes alone is told at once, and what can't wait takes along what did. */
 static void only_what_can_wait_waits(void)
 {
-    struct vp_news w = {0};
-    CU_ASSERT_TRUE(vp_changed(&w, true, NODES, CK_SEC(1)));
-    CU_ASSERT_FALSE(vp_changed(&w, true, NODES, CK_SEC(1) + 1));
-    CU_ASSERT_TRUE(vp_changed(&w, false, NODES, CK_SEC(1) + 2));
-    CU_ASSERT_FALSE(w.waits);
-    CU_ASSERT_FALSE(vp_news_due(&w, NODES, CK_SEC(9)));
-    CU_ASSERT_TRUE(vp_changed(&w, true, NODES, CK_SEC(10)));
+    struct vp_batch w = {0};
+    CU_ASSERT_TRUE(vp_batch_add(&w, true, NODES, CK_SEC(1)));
+    CU_ASSERT_FALSE(vp_batch_add(&w, true, NODES, CK_SEC(1) + 1));
+    CU_ASSERT_TRUE(vp_batch_add(&w, false, NODES, CK_SEC(1) + 2));
+    CU_ASSERT_FALSE(w.pending);
+    CU_ASSERT_FALSE(vp_batch_due(&w, NODES, CK_SEC(9)));
+    CU_ASSERT_TRUE(vp_batch_add(&w, true, NODES, CK_SEC(10)));
 }
 
 void push_suite(void)
--- a/view/view.c
+++ b/view/view.c
@@ -48,13 +48,13 @@
     return -1;
 }
 
-/* The place of the newest entry of that id, -1 none. */
-static int left_at(const struct vw_view *v, const char *id)
+/* Index of the newest entry with this id in the ring of departed instances, or -1. */
+static int find_departed(const struct vw_view *v, const char *id)
 {
-    int n = v->n_left < VW_MAX_LEFT ? v->n_left : VW_MAX_LEFT;
+    int n = v->n_departed < VW_MAX_DEPARTED ? v->n_departed : VW_MAX_DEPARTED;
     for (int k = 1; k <= n; k++) {
-        int i = (v->n_left - k) % VW_MAX_LEFT;
-        if (strcmp(v->left[i], id) == 0)
+        int i = (v->n_departed - k) % VW_MAX_DEPARTED;
+        if (strcmp(v->departed[i], id) == 0)
             return i;
     }
     return -1;
@@ -62,13 +62,13 @@
 
 bool vw_has_left(const struct vw_view *v, const char *id)
 {
-    return left_at(v, id) >= 0;
+    return find_departed(v, id) >= 0;
 }
 
 bool vw_is_late(const struct vw_view *v, const char *id, int64_t born)
 {
-    int i = left_at(v, id);
-    return i >= 0 && born <= v->left_born[i];
+    int i = find_departed(v, id);
+    return i >= 0 && born <= v->departed_born[i];
 }
 
 const struct vw_group *vw_owner(const struct vw_view *v, const char *id)
@@ -97,7 +97,7 @@
     if (vw_group(v, d->name))
         return er_set(err, ER_CONFLICT, "group %s exists already", d->name);
     if (v->n >= VW_MAX_GROUPS)
-        return er_set(err, ER_TOO_LARGE, "%d groups are the most", VW_MAX_GROUPS);
+        return er_set(err, ER_TOO_LARGE, "%d groups exist, the maximum", VW_MAX_GROUPS);
     if (d->n < 1)
         return er_set(err, ER_BAD_INPUT, "group %s has no instance", d->name);
     if (d->copies < 1 || d->copies > d->n)
@@ -125,7 +125,7 @@
                           struct er_err *err)
 {
     if (g->phase == VW_SERVING || ch->term != g->term)
-        return er_set(err, ER_STALE_PLAN, "group %s: no change of primary to term %llu pending",
+        return er_set(err, ER_STALE_PLAN, "group %s: no pending change of primary to term %llu",
                       g->name, (unsigned long long)ch->term);
     return true;
 }
@@ -145,15 +145,15 @@
     for (int i = 0; i < v->n_intents; i++) {
         const struct vw_intent *o = &v->intents[i];
         if (strcmp(o->id, it->id) == 0)
-            return er_set(err, ER_CONFLICT, "intent %s is known already", it->id);
+            return er_set(err, ER_CONFLICT, "intent %s exists already", it->id);
         if (o->number == it->number)
-            return er_set(
-                err, ER_CONFLICT,
-                "number %llu was taken by %s with intent %s; plan again with the next",
-                (unsigned long long)it->number, o->who, o->id);
+            return er_set(err, ER_CONFLICT,
+                          "number %llu is used by %s for intent %s; plan again with the next",
+                          (unsigned long long)it->number, o->who, o->id);
         if (o->state == VW_RUNNING && it->kind != VW_IT_RULE && o->kind != VW_IT_RULE &&
             strcmp(o->args, it->args) == 0)
-            return er_set(err, ER_CONFLICT, "intent %s by %s does this already", o->id, o->who);
+            return er_set(err, ER_CONFLICT, "intent %s by %s already does the same", o->id,
+                          o->who);
     }
     return true;
 }
@@ -162,16 +162,16 @@
                            struct er_err *err)
 {
     if (ch->version <= v->doc.version)
-        return er_set(err, ER_STALE_PLAN, "document %llu is not above %llu",
+        return er_set(err, ER_STALE_PLAN, "document version %llu, expected above %llu",
                       (unsigned long long)ch->version, (unsigned long long)v->doc.version);
     if (ch->text.len > VW_DOCUMENT_MAX)
-        return er_set(err, ER_TOO_LARGE, "a document of %zu bytes, expected at most %d",
+        return er_set(err, ER_TOO_LARGE, "document of %zu bytes, expected at most %d",
                       ch->text.len, VW_DOCUMENT_MAX);
     return true;
 }
 
-/* An instance that comes for another at the same address takes its place. */
-static int at_address(const struct vw_group *g, const struct vw_instance *in)
+/* Index of the instance at the same address, which a joining instance replaces, or -1. */
+static int find_by_address(const struct vw_group *g, const struct vw_instance *in)
 {
     for (int i = 0; i < g->n; i++) {
         if (g->inst[i].port == in->port && strcmp(g->inst[i].ip, in->ip) == 0)
@@ -187,12 +187,13 @@
         return er_set(err, ER_CONFLICT, "instance %s is in group %s already", ch->inst.id,
                       owner->name);
     if (!ch->group[0] || (!g && v->n >= VW_MAX_GROUPS))
-        return er_set(err, ER_TOO_LARGE, "group \"%s\": %d groups are the most", ch->group,
-                      VW_MAX_GROUPS);
+        return er_set(err, ER_TOO_LARGE, "group \"%s\": empty name, or %d groups exist",
+                      ch->group, VW_MAX_GROUPS);
     if (vw_is_late(v, ch->inst.id, ch->inst.born))
         return er_set(err, ER_STALE_PLAN, "instance %s has left", ch->inst.id);
-    if (g && !owner && g->n >= VW_MAX_INSTANCES && at_address(g, &ch->inst) < 0)
-        return er_set(err, ER_CONFLICT, "group %s has %d instances, the most", g->name, g->n);
+    if (g && !owner && g->n >= VW_MAX_INSTANCES && find_by_address(g, &ch->inst) < 0)
+        return er_set(err, ER_CONFLICT, "group %s has %d instances, the maximum", g->name,
+                      g->n);
     return true;
 }
 
@@ -201,15 +202,15 @@
 {
     const struct vw_group *owner = vw_owner(v, in->id);
     if (g->n >= VW_MAX_INSTANCES || vw_instance(g, in->id) >= 0)
-        return er_set(err, ER_CONFLICT, "group %s: %s is there or %d are the most", g->name,
-                      in->id, VW_MAX_INSTANCES);
+        return er_set(err, ER_CONFLICT, "group %s: %s exists or %d instances are the maximum",
+                      g->name, in->id, VW_MAX_INSTANCES);
     if (owner)
         return er_set(err, ER_CONFLICT, "instance %s is in group %s already", in->id,
                       owner->name);
     return true;
 }
 
-/* Changes that are about an instance which the group must have. */
+/* Whether the change names an instance that must be in the group. */
 static bool needs_instance(enum vw_change_kind kind)
 {
     return kind == VW_CH_HAND || kind == VW_CH_PRIMARY || kind == VW_CH_DRAIN ||
@@ -235,7 +236,8 @@
         return check_term(g, ch, err);
     case VW_CH_ABANDON:
         if (g->phase != VW_HANDING)
-            return er_set(err, ER_STALE_PLAN, "group %s: nothing to give up", g->name);
+            return er_set(err, ER_STALE_PLAN, "group %s: no planned change to abandon",
+                          g->name);
         return check_pending(g, ch, err);
     case VW_CH_PRIMARY:
         return check_pending(g, ch, err);
@@ -287,15 +289,16 @@
     v->n++;
 }
 
-/* The oldest finished intent makes room; a running one never does. */
+/* When the list is full, the oldest finished intent is dropped, or the newest if all are
+ * running. */
 static void insert_intent(struct vw_view *v, const struct vw_intent *it, uint64_t index)
 {
     if (v->n_intents >= VW_MAX_INTENTS) {
-        int gone = 0;
-        while (gone < v->n_intents - 1 && v->intents[gone].state == VW_RUNNING)
-            gone++;
-        memmove(&v->intents[gone], &v->intents[gone + 1],
-                sizeof(*v->intents) * (size_t)(v->n_intents - gone - 1));
+        int evicted = 0;
+        while (evicted < v->n_intents - 1 && v->intents[evicted].state == VW_RUNNING)
+            evicted++;
+        memmove(&v->intents[evicted], &v->intents[evicted + 1],
+                sizeof(*v->intents) * (size_t)(v->n_intents - evicted - 1));
         v->n_intents--;
     }
     v->intents = sr_realloc(v->intents, sizeof(*v->intents) * (size_t)(v->n_intents + 1));
@@ -332,19 +335,19 @@
     add_start(g, (struct ps_start){term, pos});
 }
 
-/* It is gone. If it was the primary, the group has none until one is chosen under the next
- * term. */
-static void apply_leave(struct vw_view *v, struct vw_group *g, const char *who)
+/* Removes the instance. If it was the primary, the group has no primary until one is chosen
+ * under the next term. */
+static void apply_leave(struct vw_view *v, struct vw_group *g, const char *leaving_id)
 {
-    char id[VW_NAME]; /* `who` may point into the group */
-    sr_copy(id, sizeof(id), sr_from(who));
+    char id[VW_NAME]; /* copied, as `leaving_id` may point into the group */
+    sr_copy(id, sizeof(id), sr_from(leaving_id));
     int i = vw_instance(g, id);
-    bool led = i == g->primary;
-    int at = v->n_left++ % VW_MAX_LEFT;
-    sr_copy(v->left[at], VW_NAME, sr_from(id));
-    v->left_born[at] = g->inst[i].born;
+    bool was_primary = i == g->primary;
+    int at = v->n_departed++ % VW_MAX_DEPARTED;
+    sr_copy(v->departed[at], VW_NAME, sr_from(id));
+    v->departed_born[at] = g->inst[i].born;
     remove_instance(g, i);
-    if (!led)
+    if (!was_primary)
         return;
     g->primary = -1;
     g->target = -1;
@@ -367,7 +370,7 @@
         g->target = i;
         break;
     case VW_CH_ABANDON:
-        /* The old primary takes up the new term in place: terms never go back. */
+        /* The old primary is promoted under the new term, because terms never decrease. */
         g->phase = VW_REPLACING;
         break;
     case VW_CH_PRIMARY:
@@ -402,14 +405,14 @@
         insert_group(v, &fresh);
         g = vw_group(v, ch->group);
     }
-    int other = at_address(g, &ch->inst);
+    int other = find_by_address(g, &ch->inst);
     if (other >= 0 && strcmp(g->inst[other].id, ch->inst.id) != 0)
         apply_leave(v, g, g->inst[other].id);
     int i = vw_instance(g, ch->inst.id);
     if (i < 0)
         i = g->n++;
     g->inst[i] = ch->inst;
-    /* Only a group that never had a primary takes an instance's word for it. */
+    /* An instance's own report makes it the primary only in a group that never had one. */
     if (ch->flag && g->term == 0)
         set_primary(g, i, 1, 0);
 }
@@ -437,7 +440,7 @@
 bool vw_apply(struct vw_view *v, uint64_t index, const struct vw_change *ch, struct er_err *err)
 {
     if (index <= v->generation)
-        return er_set(err, ER_STALE_PLAN, "change %llu is not above generation %llu",
+        return er_set(err, ER_STALE_PLAN, "change index %llu, expected above generation %llu",
                       (unsigned long long)index, (unsigned long long)v->generation);
     if (!vw_check(v, ch, err))
         return false;
