--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -7,12 +7,13 @@
 #include "proxy/priv.h"
 
 enum {
-    KEEP_US = 5000000, /* an account's connection is wanted for so long after a statement */
-    STAGES_EVERY_US = 10000000, /* a line in the log */
-    SLOW_TICK_US = 50000,       /* sessions that rest are looked at so often */
-    /* Of the time from the order to stop until the process is killed: */
-    STOP_FORCE_PERCENT = 55,  /* transactions still open then are rolled back */
-    STOP_LINGER_PERCENT = 75, /* whoever has not closed by then is closed with the process */
+    /* A connection of an account counts as wanted for this time after a statement on it. */
+    KEEP_US = 5000000,
+    STAGES_EVERY_US = 10000000, /* interval of the log event `stages` */
+    SLOW_TICK_US = 50000,       /* interval of the check of all sessions, idle ones included */
+    /* Percentages of the time from the order to stop until the process is killed. */
+    STOP_FORCE_PERCENT = 55,  /* transactions still open are rolled back at this point */
+    STOP_LINGER_PERCENT = 75, /* sessions still open at this point end with the process */
 };
 
 struct px_proxy *px_create(struct nt_loop *l, const struct px_config *cfg, struct er_err *err)
@@ -55,9 +56,9 @@
 
 /* ---- shares ---- */
 
-/* Connections that accounts used lately: given up, each would have to be opened anew for its
- * account's next statement. */
-static int kept(const struct px_inst *in, int64_t now)
+/* Returns the number of connections that accounts used recently. Each of them, if it were
+ * released, would have to be opened again for its account's next statement. */
+static int count_recently_used(const struct px_inst *in, int64_t now)
 {
     int k = 0;
     if (!in->group->held || !px_has_accounts(in->p))
@@ -67,20 +68,21 @@
     return k;
 }
 
-static void add_want(struct px_inst *in, struct wr_share *out)
+static void take_wanted_share(struct px_inst *in, struct wr_share *out)
 {
-    int used = kept(in, ck_now());
+    int used = count_recently_used(in, ck_now());
     int held = in->n_conns > in->share ? in->n_conns : in->share;
-    /* One at hand for what comes next, and room for accounts that had to make place. Where the
-     * group is another node's now, sessions that move there within a second go on meanwhile:
-     * without connections of theirs 50 statements in 2 s ran into their time limit while 42 of
-     * 76 nodes were restarted in turn. */
+    /* One spare connection for the next statement, and one for each connection that was
+     * recently closed for those of other accounts. If the group was released to another node,
+     * its sessions move there within a second and need connections here until then: without
+     * them, 50 statements in 2 s exceeded their time limit during a restart of 42 of 76 nodes
+     * one after the other. */
     int next = in->group->held ? 1 + in->replaced : 0;
     int want = in->cfg.draining ? 0 : (used > in->peak_demand ? used : in->peak_demand) + next;
     in->replaced -= (in->replaced + 3) / 4;
     *out = (struct wr_share){sr_from(in->cfg.id), (uint32_t)held, (uint32_t)want};
-    in->peak_demand -=
-        (in->peak_demand + 3) / 4; /* demand is forgotten slowly: a share costs time to get */
+    /* The peak demand decays slowly because it takes time to get a share. */
+    in->peak_demand -= (in->peak_demand + 3) / 4;
     if (in->peak_demand < in->busy + in->n_waiters)
         in->peak_demand = in->busy + in->n_waiters;
 }
@@ -91,7 +93,7 @@
     for (int g = 0; g < p->n_groups; g++) {
         for (int i = 0; i < p->groups[g]->cfg.n && k < cap; i++) {
             struct px_inst *in = p->groups[g]->inst[i];
-            add_want(in, &out[k]);
+            take_wanted_share(in, &out[k]);
             if (sh_name_in_renewal(&in->renewals_left, out[k].held, out[k].want))
                 k++;
         }
@@ -125,10 +127,11 @@
     }
 }
 
-/* ---- time ---- */
+/* ---- ticks and the planned stop ---- */
 
-/* Half of the time to end is for transactions; what is still open then is rolled back. */
-static void force_end(struct px_proxy *p, int64_t now)
+/* Transactions may use about half of the stop time to end; those still open after it are
+ * rolled back. */
+static void roll_back_at_stop(struct px_proxy *p, int64_t now)
 {
     if (!p->stopping || now - p->stop_began < p->cfg.grace_us * STOP_FORCE_PERCENT / 100)
         return;
@@ -138,7 +141,7 @@
     }
 }
 
-static void tell_stages(struct px_proxy *p, int64_t now)
+static void log_stages(struct px_proxy *p, int64_t now)
 {
     struct sr_buf b = {0};
     if (now - p->stages_logged_at < STAGES_EVERY_US)
@@ -165,8 +168,8 @@
         return;
     p->next_slow_tick = now + SLOW_TICK_US;
     px_sessions_slow_tick(p, now);
-    force_end(p, now);
-    tell_stages(p, now);
+    roll_back_at_stop(p, now);
+    log_stages(p, now);
 }
 
 void px_stop(struct px_proxy *p, int64_t now)
@@ -177,11 +180,11 @@
 
 void px_log_open_work(const struct px_proxy *p)
 {
-    int at_work = 0;
+    int n_active = 0;
     for (const struct px_session *s = p->active; s; s = s->next_active)
-        at_work++;
+        n_active++;
     FL_INFO(&p->log, "ends with %d sessions open, %d statements at work", p->n_sessions,
-            at_work);
+            n_active);
 }
 
 void px_refuse_new(struct px_proxy *p)
@@ -189,7 +192,7 @@
     nt_refuse_new(p->listener);
 }
 
-static bool any_asked_elsewhere(const struct px_proxy *p)
+static bool any_relay_pending(const struct px_proxy *p)
 {
     for (const struct px_session *s = p->sessions; s; s = s->next) {
         if (px_relay_pending(s))
@@ -200,7 +203,7 @@
 
 bool px_stopped(const struct px_proxy *p, int64_t now)
 {
-    if (p->active || any_asked_elsewhere(p))
+    if (p->active || any_relay_pending(p))
         return false;
     return p->n_sessions == 0 ||
            now - p->stop_began > p->cfg.grace_us * STOP_LINGER_PERCENT / 100;
@@ -237,8 +240,9 @@
     }
 }
 
-/* Statements beside put_traffic's bytes: together they tell what one costs on the link. */
-static void put_passed(struct sr_buf *out, const struct px_proxy *p)
+/* Numbers of statements by kind of peer. Together with the bytes of put_traffic they show how
+ * many bytes of a link a statement uses. */
+static void put_peer_statements(struct sr_buf *out, const struct px_proxy *p)
 {
     const struct {
         const char *peer;
@@ -264,8 +268,8 @@
     return here != there ? (here < there ? 1 : -1) : strcmp(x->name, y->name);
 }
 
-/* All accounts, by use; the caller frees it. */
-static const struct px_account **by_use(const struct px_proxy *p)
+/* Returns all accounts, most used first. The caller frees the array. */
+static const struct px_account **accounts_by_use(const struct px_proxy *p)
 {
     const struct px_account **a =
         sr_alloc(sizeof(struct px_account *) * (size_t)(p->n_accounts + 1));
@@ -277,7 +281,7 @@
 
 int px_accounts_by_use(const struct px_proxy *p, const char *names[PX_ACCOUNTS_LISTED])
 {
-    const struct px_account **a = by_use(p);
+    const struct px_account **a = accounts_by_use(p);
     int n = p->n_accounts < PX_ACCOUNTS_LISTED ? p->n_accounts : PX_ACCOUNTS_LISTED;
     for (int i = 0; i < n; i++)
         names[i] = a[i]->name;
@@ -306,11 +310,11 @@
                   limit->name, limit->rate, limit->name, limit->burst);
 }
 
-/* Those that are used most, the rest together as "-": the number is bounded, whatever documents
- * hold. */
+/* Writes the most used accounts one by one and the sum of the others as account "-". This
+ * bounds the number of metrics, however many accounts a configuration document lists. */
 static void put_accounts(struct sr_buf *out, const struct px_proxy *p)
 {
-    const struct px_account **a = by_use(p);
+    const struct px_account **a = accounts_by_use(p);
     struct px_account rest = {0};
     for (int i = 0; i < p->n_accounts; i++) {
         if (i < PX_ACCOUNTS_LISTED) {
@@ -338,7 +342,7 @@
     return n;
 }
 
-/* Statements that wait for a route, a permit or a connection now. */
+/* Returns the number of statements that wait for a route, a permit or a connection. */
 static int waiting_now(const struct px_proxy *p)
 {
     int k = 0;
@@ -409,7 +413,7 @@
         sr_buf_printf(out, "ferry_session_closed_total{why=\"%s\"} %llu\n",
                       px_end_reason_name(k), (unsigned long long)p->c.ends[k]);
     put_traffic(out, p);
-    put_passed(out, p);
+    put_peer_statements(out, p);
     put_accounts(out, p);
     put_hist(out, "read", &p->latency_read);
     put_hist(out, "write", &p->latency_write);
--- a/proxy/proxy.h
+++ b/proxy/proxy.h
@@ -1,12 +1,13 @@
-/* The session proxy: callers' sessions on a few connections to instances.
+/* The session proxy: multiplexes callers' sessions over a few connections to instances.
  *
- * A caller's connection is a session with values, prepared names and the position of its last
- * commit. Statements run on whichever pooled connection is free; the session's values and
- * prepared statements are put there first. A transaction keeps its connection. Which instance
- * serves a read follows from what it must see (catalog/): the instance itself refuses a read
- * whose floor it lacks.
+ * A caller's connection is a session with values, prepared statements and the position of its
+ * last commit. Each statement runs on any idle pooled connection, after the session's values
+ * and prepared statements have been set up there. A transaction keeps its connection until it
+ * ends. Which instance serves a read depends on the minimum position that the read must see
+ * (catalog/); an instance refuses a read whose floor its log has not reached.
  *
- * Runs on the loop's thread. The entry role gives it the view, the lease and the shares. */
+ * All functions run on the thread of the event loop. The entry role provides the view, the
+ * lease and the shares. Times are in microseconds. */
 #ifndef FL_PROXY_PROXY_H
 #define FL_PROXY_PROXY_H
 
@@ -19,84 +20,90 @@
 
 struct px_proxy;
 
-/* What the proxy asks of the entry role. */
+/* Callbacks of the proxy to the entry role. */
 struct px_host {
-    /* Whether the view is the newest: no term in it was replaced. */
+    /* Whether this node has a lease, so that no term in its view has been replaced. */
     bool (*leased)(void *ud);
-    /* An instance does not answer, or refuses. */
+    /* Reports that an instance does not answer, refuses or should hand over its role. */
     void (*suspect)(void *ud, const char *inst, enum wr_health health);
     void *ud;
 };
 
-/* What a proxy is made with. */
+/* Settings of a proxy. */
 struct px_config {
-    const char *name; /* of this node, told to instances */
+    const char *name; /* name of this node; sent to instances */
     const char *domain;
-    const char *ip; /* callers' sessions */
+    const char *ip; /* listening address for callers' sessions */
     int port;
     int max_sessions;
-    int64_t grace_us; /* from px_stop until the process is killed */
+    int64_t grace_us; /* time from px_stop until the process is killed */
     uint64_t seed;
     const struct px_codec *codec;
     const struct cg_codec *documents;
     struct px_host host;
 };
 
-/* Listen for callers. NULL with *err if that fails. Strings of *cfg must outlive it. */
+/* Creates a proxy that listens for callers. Returns NULL and sets *err if listening fails. The
+ * strings of *cfg must outlive the proxy. */
 struct px_proxy *px_create(struct nt_loop *l, const struct px_config *cfg, struct er_err *err);
-/* A newer view is in force here. */
+/* Applies a newer view. */
 void px_set_view(struct px_proxy *p, const struct vw_view *v);
-/* Whether nothing acts on an older view any more: a planned change of primary waits until what
- * runs at the old one has ended, within a bound. */
+/* Whether no statement uses an older view any more. A planned change of primary waits, up to a
+ * bound, until the statements at the old primary have ended. */
 bool px_settled(const struct px_proxy *p);
-/* Connections held and wanted, an entry for each instance that the next renewal is to name;
- * returns how many. */
+/* Writes the connections held and wanted to `out`, one entry for each instance that the next
+ * renewal must name, and returns the number of entries, at most `cap`. */
 uint32_t px_wanted_shares(struct px_proxy *p, struct wr_share *out, uint32_t cap);
-/* Whether there are connections to ask for that no renewal has named, since this was asked
- * last: instances came to the view, or groups to hold. */
+/* Whether, since the last call, something came up that a renewal should request at once: an
+ * instance was added to the view, a group has to be held, or an account lacks permits. */
 bool px_has_changes(struct px_proxy *p);
-/* The entry nodes with a lease; strings and hashes as ho_prepare leaves them. */
+/* Sets the list of entry nodes with a lease, with strings and hashes as prepared by
+ * ho_prepare. */
 void px_set_nodes(struct px_proxy *p, const struct ho_node *nodes, int n);
-/* How many connections to the instance this node may have from now on. */
+/* Sets the number of connections that this node may have to the instance. */
 void px_set_share(struct px_proxy *p, struct sr_str inst, int connections);
-/* What the next renewal says of client accounts' permits, to *r; the list is the caller's to
- * free. Each call is a renewal that goes out. */
+/* Fills in the part of *r, the next renewal, that is about permits of client accounts. The
+ * caller frees the list. Call it only for a renewal that is then sent. */
 void px_permit_requests(struct px_proxy *p, struct wr_renew *r);
-/* The leader's answer to a renewal that was sent then; all permits that are here live on for
- * LM_LIFE_US from there. */
+/* Applies the leader's reply to the renewal that was sent at `sent`. It extends the life of all
+ * permits at this node to LM_LIFE_US after `sent`. */
 void px_permits_granted(struct px_proxy *p, int64_t sent, const struct wr_permit *permits,
                         uint32_t n);
-/* The same without an answer; the leader knows of all permits here. */
+/* Extends the life of the permits like px_permits_granted, without new grants, when the leader
+ * is known to have recorded all permits of this node. */
 void px_permits_renewed(struct px_proxy *p, int64_t sent);
-/* The lease is given back: they end. */
+/* Discards all permits, because this node releases its lease. */
 void px_permits_discard(struct px_proxy *p);
-/* The leader does not know of them: the next renewal tells it all. */
+/* Makes the next renewal report all permits, because the leader does not know them. */
 void px_permits_report_all(struct px_proxy *p);
-/* The lease is lost: others may be given what this node held, but for one connection an
- * instance. */
+/* Reduces each share to at most one connection, because the lease is lost and the leader may
+ * grant the other connections to other nodes. */
 void px_lease_lost(struct px_proxy *p);
-/* What this node sees of an instance; WR_UNKNOWN: it did not ask lately. */
+/* Returns the instance's health as seen by this node; WR_UNKNOWN if this node has not contacted
+ * it recently. */
 enum wr_health px_instance_health(const struct px_proxy *p, struct sr_str inst);
-/* Whether a document is in force here. */
+/* Whether a configuration document is in force at this node. */
 bool px_configured(const struct px_proxy *p);
-/* Call every few milliseconds. */
+/* Does the periodic work. Call it every few milliseconds. */
 void px_tick(struct px_proxy *p, int64_t now);
-/* A planned stop: sessions that rest are closed one after the other, what runs ends. */
+/* Begins a planned stop: idle sessions are closed one after the other, and running statements
+ * may end. */
 void px_stop(struct px_proxy *p, int64_t now);
-/* From now on nobody is let in: who came while the node gives its lease back would be cut off.
- */
+/* Refuses new callers from now on. A session that was accepted while the node releases its
+ * lease would be closed before its first statement could end. */
 void px_refuse_new(struct px_proxy *p);
-/* The process ends: say what it leaves open. */
+/* Logs the sessions and statements that are still open when the process ends. */
 void px_log_open_work(const struct px_proxy *p);
-/* Whether everything has ended. */
+/* Whether the planned stop is complete, so that the process may end. */
 bool px_stopped(const struct px_proxy *p, int64_t now);
-/* Append lines for /metrics. */
+/* Appends the lines for /metrics. */
 void px_metrics(const struct px_proxy *p, struct sr_buf *out);
-enum { PX_ACCOUNTS_LISTED = 64 }; /* accounts that metrics and pages name, at most */
-/* The accounts that began or were refused most here, most first, to `names`; returns how many.
- */
+enum { PX_ACCOUNTS_LISTED = 64 }; /* maximum number of accounts in metrics and on pages */
+/* Writes the names of the accounts with the most operations at this node, begun or refused, to
+ * `names` in descending order and returns their number. */
 int px_accounts_by_use(const struct px_proxy *p, const char *names[PX_ACCOUNTS_LISTED]);
-/* The nodes at which an account's sessions meet in the group, to `nodes`; returns how many. */
+/* Writes the names of the holders that serve the account's sessions in the group to `nodes` and
+ * returns their number. */
 int px_account_nodes(struct px_proxy *p, const char *group, const char *account,
                      const char *nodes[HO_MAX_HOLDERS]);
 
