--- a/proxy/answer.c
+++ b/proxy/answer.c
@@ -1,13 +1,14 @@
-/* What callers are told, and what is noted of it. */
+/* Replies to callers, closing of their connections, and the metrics and log events of both. */
 #include "proxy/priv.h"
 
-enum { FAILURE_LINES_PER_S = 20 }; /* of the log; more are counted */
+enum { FAILURE_LINES_PER_S = 20 }; /* maximum in the log; further ones are only counted */
 
 static const struct ps_pos no_pos;
 
-/* ---- noting ---- */
+/* ---- metrics and log events ---- */
 
-/* A few lines a second, the rest counted: a bad hour must not fill the disk. */
+/* Whether a failure may be logged now. Lines over the limit per second are only counted, so
+ * that many failures over hours don't fill the disk. */
 static bool may_log(struct px_proxy *p)
 {
     int64_t now = ck_now();
@@ -23,7 +24,8 @@
     return false;
 }
 
-/* Instances of the group that lacked a position a moment ago: why the others are full. */
+/* Returns the number of the group's instances that recently lacked the position of a read. It
+ * is logged because such instances explain why the others have no free connections. */
 static int behind_now(const struct px_group *g, int64_t now)
 {
     int k = 0;
@@ -32,7 +34,7 @@
     return k;
 }
 
-static void note_failure(struct px_session *s, enum er_kind kind, const char *detail)
+static void record_failure(struct px_session *s, enum er_kind kind, const char *detail)
 {
     struct px_proxy *p = s->p;
     const struct px_group *g = px_session_group(s);
@@ -50,7 +52,7 @@
              behind_now(g, ck_now()), g ? g->cfg.n : 0, detail);
 }
 
-static void note_success(struct px_session *s)
+static void record_success(struct px_session *s)
 {
     int64_t us = ck_now() - s->arrived;
     s->p->c.ok++;
@@ -59,7 +61,7 @@
 
 /* ---- sending ---- */
 
-/* Send what *b holds and free it. */
+/* Sends the contents of *b to the caller, if it is still connected, and frees *b. */
 static void send_all(struct px_session *s, struct sr_buf *b)
 {
     if (s->net)
@@ -81,17 +83,17 @@
     s->p->cfg.codec->put(b, &m);
 }
 
-/* ---- answers ---- */
+/* ---- replies ---- */
 
 void px_answer(struct px_session *s, const struct px_conn *c)
 {
     struct sr_buf b = {0};
     if (c->error != ER_NONE) {
-        note_failure(s, c->error, c->detail);
+        record_failure(s, c->error, c->detail);
         put_failure(s, &b, c->error, c->detail);
     } else {
         struct px_msg done = {.kind = PX_DONE, .signature = {c->signature.p, c->signature.len}};
-        note_success(s);
+        record_success(s);
         sr_buf_add(&b, c->rows.p, c->rows.len);
         s->p->cfg.codec->put(&b, &done);
     }
@@ -101,10 +103,10 @@
     px_session_resume(s);
 }
 
-static void tell_failure(struct px_session *s, enum er_kind kind, const char *detail)
+static void send_failure(struct px_session *s, enum er_kind kind, const char *detail)
 {
     struct sr_buf b = {0};
-    note_failure(s, kind, detail);
+    record_failure(s, kind, detail);
     put_failure(s, &b, kind, detail);
     put_ready(s, &b, false, no_pos);
     send_all(s, &b);
@@ -113,14 +115,14 @@
 void px_refuse(struct px_session *s, enum er_kind kind, const char *detail)
 {
     px_end_work(s);
-    tell_failure(s, kind, detail);
+    send_failure(s, kind, detail);
     s->idle_since = ck_now();
     px_session_resume(s);
 }
 
 void px_refuse_relayed(struct px_session *s, enum er_kind kind, const char *detail)
 {
-    tell_failure(s, kind, detail);
+    send_failure(s, kind, detail);
 }
 
 void px_answer_local(struct px_session *s)
@@ -142,7 +144,8 @@
 
 void px_fail_disconnected(struct px_session *s)
 {
-    px_fail_and_close(s, ER_NO_LEASE, "this node is cut off; another may serve it, at once");
+    px_fail_and_close(s, ER_NO_LEASE,
+                      "this node is disconnected from control; try another node at once");
 }
 
 static const char *const end_names[PX_END_REASONS] = {
@@ -169,7 +172,7 @@
                  end_names[s->end_reason], bytes);
 }
 
-static void note_end(struct px_session *s, enum px_end_reason why)
+static void record_end(struct px_session *s, enum px_end_reason why)
 {
     struct px_proxy *p = s->p;
     bool cut = why != PX_END_BY_CALLER && (s->stage != PX_S_IDLE || px_relay_pending(s));
@@ -185,7 +188,7 @@
 
 void px_close(struct px_session *s, enum px_end_reason why, bool at_once)
 {
-    note_end(s, why);
+    record_end(s, why);
     nt_close(s->net, at_once);
 }
 
@@ -195,7 +198,7 @@
         return true;
     if (!nt_close_resting(s->net))
         return false;
-    note_end(s, why);
+    record_end(s, why);
     return true;
 }
 
--- a/proxy/targets.c
+++ b/proxy/targets.c
@@ -1,6 +1,7 @@
-/* Which other node a session is relayed to: a holder of its group in the order that its account
- * or failure domain asks for, but those that are silent; or, where none is left, a node that
- * may reach one (it passes the session on, once). */
+/* Chooses the node that a session is relayed to. Holders of the session's group come first, in
+ * the order given by the session's account or the failure domains, without silent nodes. If no
+ * holder is left, it is another node that may reach a holder; that node passes the session on,
+ * once. */
 #include <string.h>
 
 #include "proxy/priv.h"
@@ -21,18 +22,21 @@
 
 /* ---- holders ---- */
 
-/* How far it is: own failure domain, own region, another. After the first try the own domain
- * is as good as any other of its region: it may be in trouble. */
+/* Returns the distance to the node: 0 own failure domain, 1 own region, 2 another region. After
+ * the first try the own failure domain counts like any other of its region, because the whole
+ * domain may be failing. */
 static int distance(const struct px_proxy *p, int i, bool near_first)
 {
     int far = rt_distance(p->cfg.domain, p->nodes[i].domain);
     return far == 0 && !near_first ? 1 : far;
 }
 
-/* The near ones first: a shorter trip, and no bytes between failure domains or regions. Among
- * those alike from a place of the session's own on, so that sessions spread over them. */
-static int by_place(const struct px_session *s, const struct px_group *g, bool near_first,
-                    int *out)
+/* Writes the group's holders to `out`, nearest first, and returns their number. Near holders
+ * have a shorter round trip and avoid traffic between failure domains or regions. At equal
+ * distance the order starts at a holder chosen by the session's number, which spreads the
+ * sessions. */
+static int holders_by_distance(const struct px_session *s, const struct px_group *g,
+                               bool near_first, int *out)
 {
     const struct px_proxy *p = s->p;
     uint64_t n = (uint64_t)g->n_holders;
@@ -47,22 +51,24 @@
     return k;
 }
 
-/* Where connections belong to accounts, an account's sessions meet where its connections are,
- * near or not: of 78 accounts on three connections each node would open one for nearly each
- * statement otherwise. */
-static int order_of(const struct px_session *s, struct px_group *g, bool near_first, int *out)
+/* Writes the group's holders to `out` in the order in which they are tried. If connections
+ * belong to accounts, an account's sessions go to the nodes that have its connections, at any
+ * distance. Otherwise, with 78 accounts on three connections, each node would open a connection
+ * for nearly each statement. */
+static int holders_in_order(const struct px_session *s, struct px_group *g, bool near_first,
+                            int *out)
 {
     if (px_has_accounts(s->p))
         return px_holders_for(s, g, out);
-    return by_place(s, g, near_first, out);
+    return holders_by_distance(s, g, near_first, out);
 }
 
-/* The first of the best rank; -1: none is left. */
+/* Returns the first holder of the best rank that was not tried, or -1 if there is none. */
 static int pick_holder(const struct px_session *s, struct px_group *g,
                        const struct px_tried_nodes *t, int64_t now)
 {
     const struct px_proxy *p = s->p;
-    int order[HO_MAX_HOLDERS], best = -1, n = order_of(s, g, t->n == 0, order);
+    int order[HO_MAX_HOLDERS], best = -1, n = holders_in_order(s, g, t->n == 0, order);
     enum nb_rank rank = NB_NEVER;
     for (int k = 0; k < n; k++) {
         int i = order[k];
@@ -77,16 +83,17 @@
     return best;
 }
 
-/* ---- nodes that pass on ---- */
+/* ---- nodes that pass sessions on ---- */
 
 enum {
-    TRY_OTHERS_EVERY = 4, /* of the sessions, one goes to a node that is not known to */
-    /* While nobody is known to, one session in so long looks for a way; the others are told at
-     * once, so that their callers have time to try another node. */
+    /* One of this many sessions tries a node that is not known to pass sessions on. */
+    TRY_OTHERS_EVERY = 4,
+    /* While no node is known to pass sessions on, one session per interval searches for such a
+     * node. The others fail at once, so that their callers have time to try another node. */
     SEEK_EVERY_US = 200000,
 };
 
-static bool holds(const struct px_group *g, int i)
+static bool is_holder(const struct px_group *g, int i)
 {
     for (int k = 0; k < g->n_holders; k++) {
         if (g->holders[k] == i)
@@ -95,8 +102,9 @@
     return false;
 }
 
-/* Each node and session draws its own order, so that those that pass on share the load. */
-static uint64_t draw(const struct px_session *s, uint64_t node_hash)
+/* Returns a pseudorandom weight of a node. It depends on this node and the session, so that the
+ * nodes that pass sessions on share the load. */
+static uint64_t node_weight(const struct px_session *s, uint64_t node_hash)
 {
     uint64_t own = s->state.session * 0x9E3779B97F4A7C15ull ^ s->p->cfg.seed;
     uint64_t x = (node_hash ^ own) * 0xBF58476D1CE4E5B9ull;
@@ -110,24 +118,25 @@
     bool known_first = s->state.session % TRY_OTHERS_EVERY != 0;
     int best = -1;
     bool best_known = false;
-    uint64_t best_draw = 0;
+    uint64_t best_weight = 0;
     for (int i = 0; i < p->n_nodes; i++) {
         const struct ho_node *x = &p->nodes[i];
-        if (is_self(p, i) || holds(g, i) || was_tried(p, t, i) ||
+        if (is_self(p, i) || is_holder(g, i) || was_tried(p, t, i) ||
             px_neighbor_rank(p, x, now) >= NB_LAST)
             continue;
         bool known = known_first && px_neighbor_passes_on(p, x, now);
-        uint64_t d = draw(s, x->hash);
-        if (best < 0 || known > best_known || (known == best_known && d > best_draw)) {
+        uint64_t d = node_weight(s, x->hash);
+        if (best < 0 || known > best_known || (known == best_known && d > best_weight)) {
             best = i;
             best_known = known;
-            best_draw = d;
+            best_weight = d;
         }
     }
     return best;
 }
 
-/* Whether this session may look for a node that passes it on: it is at it, or it is time. */
+/* Whether this session may search for a node that passes it on: it already does (`seeks`), such
+ * a node is known, or the search interval has passed. */
 static bool may_seek(struct px_proxy *p, bool seeks, int64_t now)
 {
     if (seeks || px_any_neighbor_passes_on(p, now))
@@ -138,7 +147,7 @@
     return true;
 }
 
-/* ---- */
+/* ---- choice of the target ---- */
 
 struct px_group *px_database_group(const struct px_session *s)
 {
