--- a/proxy/answer.c
+++ b/proxy/answer.c
@@ -35,7 +35,7 @@
     return k;
 }
 
-static void note_failure(struct px_session *s, enum er_kind kind, const char *detail)
+static void record_failure(struct px_session *s, enum er_kind kind, const char *detail)
 {
     struct px_proxy *p = s->p;
     const struct px_group *g = px_session_group(s);
@@ -53,7 +53,7 @@
              count_behind(g, ck_now()), g ? g->cfg.n : 0, detail);
 }
 
-static void note_success(struct px_session *s)
+static void record_success(struct px_session *s)
 {
     int64_t us = ck_now() - s->arrived;
     s->p->c.ok++;
@@ -84,17 +84,17 @@
     s->p->cfg.codec->put(b, &m);
 }
 
-/* ---- answers ---- */
+/* ---- replies ---- */
 
 void px_answer(struct px_session *s, const struct px_conn *c)
 {
     struct sr_buf b = {0};
     if (c->error != ER_NONE) {
-        note_failure(s, c->error, c->detail);
+        record_failure(s, c->error, c->detail);
         put_failure(s, &b, c->error, c->detail);
     } else {
         struct px_msg done = {.kind = PX_DONE, .signature = {c->signature.p, c->signature.len}};
-        note_success(s);
+        record_success(s);
         sr_buf_add(&b, c->rows.p, c->rows.len);
         s->p->cfg.codec->put(&b, &done);
     }
@@ -107,7 +107,7 @@
 static void send_failure(struct px_session *s, enum er_kind kind, const char *detail)
 {
     struct sr_buf b = {0};
-    note_failure(s, kind, detail);
+    record_failure(s, kind, detail);
     put_failure(s, &b, kind, detail);
     put_ready(s, &b, false, no_pos);
     send_and_free(s, &b);
@@ -173,7 +173,7 @@
                  end_names[s->end_reason], bytes);
 }
 
-static void note_end(struct px_session *s, enum px_end_reason why)
+static void record_end(struct px_session *s, enum px_end_reason why)
 {
     struct px_proxy *p = s->p;
     bool cut = why != PX_END_BY_CALLER && (s->stage != PX_S_IDLE || px_relay_pending(s));
@@ -189,7 +189,7 @@
 
 void px_close(struct px_session *s, enum px_end_reason why, bool at_once)
 {
-    note_end(s, why);
+    record_end(s, why);
     nt_close(s->net, at_once);
 }
 
@@ -199,7 +199,7 @@
         return true;
     if (!nt_close_resting(s->net))
         return false;
-    note_end(s, why);
+    record_end(s, why);
     return true;
 }
 
--- a/proxy/statement.c
+++ b/proxy/statement.c
@@ -57,7 +57,7 @@
 static void rollback_txn(struct px_session *s)
 {
     if (s->txn == PX_IDLE) {
-        refuse_malformed(s, "no transaction is open");
+        refuse_malformed(s, "ROLLBACK: no transaction is open");
         return;
     }
     px_drop_txn(s);
@@ -68,7 +68,7 @@
 static void commit_txn(struct px_session *s)
 {
     if (s->txn == PX_IDLE) {
-        refuse_malformed(s, "no transaction is open");
+        refuse_malformed(s, "COMMIT: no transaction is open");
         return;
     }
     s->writes = false;
@@ -132,7 +132,7 @@
 
 /* Values and prepared statements belong to the session; connections get them when a statement
  * needs them. */
-static void change_state(struct px_session *s)
+static void handle_state_change(struct px_session *s)
 {
     struct er_err err = {0};
     if (refuse_if_failed(s))
@@ -178,7 +178,7 @@
     case PX_V_SET:
     case PX_V_PREPARE:
     case PX_V_DEALLOCATE:
-        change_state(s);
+        handle_state_change(s);
         break;
     default:
         refuse_malformed(s, "unknown statement");
--- a/proxy/targets.c
+++ b/proxy/targets.c
@@ -80,7 +80,7 @@
     return best;
 }
 
-/* ---- nodes that pass on ---- */
+/* ---- nodes that pass sessions on ---- */
 
 enum {
     /* One session in this many tries a node that is not known to pass sessions on. */
@@ -90,7 +90,7 @@
     SEEK_INTERVAL_US = 200000,
 };
 
-static bool holds(const struct px_group *g, int i)
+static bool is_holder(const struct px_group *g, int i)
 {
     for (int k = 0; k < g->n_holders; k++) {
         if (g->holders[k] == i)
@@ -115,18 +115,18 @@
     bool known_first = s->state.session % TRY_UNKNOWN_EVERY != 0;
     int best = -1;
     bool best_known = false;
-    uint64_t best_draw = 0;
+    uint64_t best_weight = 0;
     for (int i = 0; i < p->n_nodes; i++) {
         const struct ho_node *x = &p->nodes[i];
-        if (is_self(p, i) || holds(g, i) || was_tried(p, t, i) ||
+        if (is_self(p, i) || is_holder(g, i) || was_tried(p, t, i) ||
             px_neighbor_rank(p, x, now) >= NB_LAST)
             continue;
         bool known = known_first && px_neighbor_passes_on(p, x, now);
         uint64_t d = draw_weight(s, x->hash);
-        if (best < 0 || known > best_known || (known == best_known && d > best_draw)) {
+        if (best < 0 || known > best_known || (known == best_known && d > best_weight)) {
             best = i;
             best_known = known;
-            best_draw = d;
+            best_weight = d;
         }
     }
     return best;
