--- a/entry/link.c
+++ b/entry/link.c
@@ -1,4 +1,5 @@
-/* The links to control: the lease, the view, shares, and what this node saw. */
+/* Connections of an entry node to the control nodes. They carry lease renewals, view updates,
+ * connection shares, permits, node lists, and health reports of instances. */
 #include <jansson.h>
 #include <stdlib.h>
 
@@ -8,10 +9,10 @@
 #include "route/capacity.h"
 
 enum {
-    RENEW_PARTS = 6,         /* renewals in a lease's time */
-    SEEK_US = 40000,         /* between renewals while nobody is known to grant one */
-    SUSPECT_US = 100000,     /* an instance is reported again at the earliest */
-    CHECK_FRESH_US = 150000, /* an instance heard within this is taken for well */
+    RENEWALS_PER_LEASE = 6,       /* renewals per lease duration */
+    LEADER_RETRY_US = 40000,      /* between renewals while no control node grants a lease */
+    SUSPECT_INTERVAL_US = 100000, /* shortest time between two reports of an instance */
+    HEALTH_FRESH_US = 150000,     /* an instance that replied within this time is healthy */
 };
 
 static void send_msg(struct en_link *l, const struct wr_msg *m)
@@ -28,47 +29,50 @@
     return n->leader >= 0 ? &n->links[n->leader] : NULL;
 }
 
-/* Whom the last lease is from, if it is live; else a peer without name and address. */
-static const struct st_peer *granter(const struct en_node *n)
+/* The control node that granted the lease, if the lease is valid; otherwise a peer with an
+ * empty name and address. */
+static const struct st_peer *lease_granter(const struct en_node *n)
 {
-    static const struct st_peer nobody;
-    return n->leader >= 0 && en_leased(n) ? &n->links[n->leader].peer : &nobody;
+    static const struct st_peer no_peer;
+    return n->leader >= 0 && en_leased(n) ? &n->links[n->leader].peer : &no_peer;
 }
 
 const char *en_leader_ip(const struct en_node *n)
 {
-    return granter(n)->ip;
+    return lease_granter(n)->ip;
 }
 
 const char *en_leader_name(const struct en_node *n)
 {
-    return granter(n)->name;
+    return lease_granter(n)->name;
 }
 
-/* ---- renewing ---- */
+/* ---- lease renewal ---- */
 
-static int wanted(struct en_inst *in)
+static int wanted_connections(struct en_inst *in)
 {
     int want = in->peak_want < 1 ? 1 : in->peak_want;
     in->peak_want -=
-        in->peak_want / 4; /* demand is forgotten slowly: a share costs time to get */
+        in->peak_want / 4; /* decays slowly because getting a share back takes time */
     return want;
 }
 
-static int held(const struct en_inst *in)
+static int held_connections(const struct en_inst *in)
 {
     return in->n_conns > in->share ? in->n_conns : in->share;
 }
 
-static void renew(struct en_node *n, struct en_link *l, int64_t now, bool stopping)
+static void send_renewal(struct en_node *n, struct en_link *l, int64_t now, bool stopping)
 {
-    /* A node that is strong may hold all groups: one left out here would have no share. */
+    /* A node with much capacity may hold all groups, and an instance that is missing here would
+     * get no share. */
     uint32_t k = 0, cap = WR_MAX_SHARES;
     struct wr_share *shares = sr_alloc(sizeof(*shares) * cap);
     for (int g = 0; g < n->n_groups; g++) {
         for (int i = 0; i < n->groups[g]->cfg.n && k < cap; i++) {
             struct en_inst *in = n->groups[g]->inst[i];
-            uint32_t has = (uint32_t)held(in), want = (uint32_t)wanted(in);
+            uint32_t has = (uint32_t)held_connections(in),
+                     want = (uint32_t)wanted_connections(in);
             if (!n->groups[g]->held)
                 want = 0;
             if (sh_name_in_renewal(&in->named, has, want))
@@ -98,11 +102,11 @@
 static void set_leader(struct en_node *n, int i)
 {
     if (n->leader != i)
-        n->shares_seq = 0; /* numbers of shares are each leader's own */
+        n->shares_seq = 0; /* each leader numbers its share messages itself */
     n->leader = i;
 }
 
-static void next_leader(struct en_node *n)
+static void select_next_link(struct en_node *n)
 {
     for (int k = 1; k <= EN_MAX_LINKS; k++) {
         int i = (n->leader + k + EN_MAX_LINKS) % EN_MAX_LINKS;
@@ -113,29 +117,31 @@
     }
 }
 
-/* Connections that no renewal has named are asked for as soon as the last one is answered: a
- * node that starts learns only with that answer what there is, and would have none for a sixth
- * of a lease (0.2 s) more. */
+/* Connections that no renewal has requested yet are requested as soon as the last renewal is
+ * answered. A starting node learns the instances only from that answer, and would otherwise
+ * have no connections for another sixth of a lease (0.2 s). */
 static bool renewal_due(struct en_node *n, int64_t now)
 {
-    int64_t by = n->awaiting ? nt_heard_until(n->loop) : now; /* its answer may have come */
-    return by >= n->next_renew || (!n->awaiting && n->px && px_has_changes(n->px));
+    /* The answer to the last renewal may be received but unread. */
+    int64_t heard_until = n->awaiting ? nt_heard_until(n->loop) : now;
+    return heard_until >= n->next_renew || (!n->awaiting && n->px && px_has_changes(n->px));
 }
 
-/* A few renewals a lease; one that is not answered in time goes to the next control node. */
-static void renew_tick(struct en_node *n, int64_t now)
+/* Sends RENEWALS_PER_LEASE renewals per lease. After a renewal that was not answered in time,
+ * the next one goes to another control node. */
+static void renewal_tick(struct en_node *n, int64_t now)
 {
     if (!renewal_due(n, now))
         return;
     struct en_link *l = leader(n);
     if (n->awaiting || !l || !l->open)
-        next_leader(n);
+        select_next_link(n);
     l = leader(n);
     if (!l || !l->open)
         return;
     n->awaiting = true;
     n->next_renew = now + CK_MS(n->s->election_ms);
-    renew(n, l, now, false);
+    send_renewal(n, l, now, false);
 }
 
 void en_give_back(struct en_node *n)
@@ -143,7 +149,7 @@
     if (n->px)
         px_permits_discard(n->px);
     if (leader(n))
-        renew(n, leader(n), ck_now(), true);
+        send_renewal(n, leader(n), ck_now(), true);
 }
 
 /* ---- messages ---- */
@@ -153,13 +159,13 @@
     int64_t now = ck_now();
     ck_hlc_seen(&n->tl->hlc, g->hlc);
     if (g->duration_ms == 0) {
-        n->next_renew = now + SEEK_US;
+        n->next_renew = now + LEADER_RETRY_US;
         return;
     }
     n->awaiting = false;
-    n->next_renew = now + CK_MS(g->duration_ms) / RENEW_PARTS;
+    n->next_renew = now + CK_MS(g->duration_ms) / RENEWALS_PER_LEASE;
     if (g->generation > n->view.generation)
-        return; /* the view that belongs to it has not come: no lease for an old one */
+        return; /* this node's view is older than the grant: it must not act on that view */
     ls_granted(&n->lease, g->seq, CK_MS(g->duration_ms));
     if (n->px && g->knows_permits)
         px_permits_renewed(n->px, ls_renewal_sent_at(&n->lease, g->seq));
@@ -179,7 +185,7 @@
 static void on_not_leader(struct en_node *n, struct sr_str name)
 {
     n->awaiting = false;
-    n->next_renew = ck_now() + SEEK_US;
+    n->next_renew = ck_now() + LEADER_RETRY_US;
     for (int i = 0; i < EN_MAX_LINKS; i++) {
         if (n->links[i].used && sr_eq(name, sr_from(n->links[i].peer.name))) {
             set_leader(n, i);
@@ -187,7 +193,7 @@
             return;
         }
     }
-    next_leader(n);
+    select_next_link(n);
 }
 
 static bool apply_changes(struct en_node *n, const json_t *list, struct er_err *err)
@@ -212,7 +218,7 @@
     struct er_err err = {0};
     uint64_t before = n->view.generation;
     if (v->to <= before)
-        return; /* never backwards */
+        return; /* a view is never replaced by an older one */
     json_t *j = js_load(v->text);
     bool ok = false;
     if (v->from == 0) {
@@ -223,13 +229,15 @@
     }
     json_decref(j);
     if (!ok) {
-        FL_ERR(&n->log, "view %llu can't be applied: %s", (unsigned long long)v->to, err.text);
+        FL_ERR(&n->log, "view generation %llu can't be applied: %s", (unsigned long long)v->to,
+               err.text);
         return;
     }
-    /* Changes of agreement that are none of ours leave gaps: the leader says where we are. */
+    /* The control log also has entries that change no view, so the generations of the changes
+     * have gaps. The leader sends the generation that the view has reached. */
     n->view.generation = v->to;
     n->c.views++;
-    tl_add(n->tl, TL_VIEW, "", 0, "generation %llu in force, was %llu",
+    tl_add(n->tl, TL_VIEW, "", 0, "generation %llu applied, previously %llu",
            (unsigned long long)v->to, (unsigned long long)before);
     en_view_changed(n);
     en_ack_view(n);
@@ -260,7 +268,7 @@
     }
 }
 
-static bool read_node(const struct wr_node *x, struct ho_node *to)
+static bool parse_node(const struct wr_node *x, struct ho_node *to)
 {
     *to = (struct ho_node){.port = (int)x->port, .carries = (int)x->carries};
     return sr_copy(to->name, sizeof(to->name), x->name) &&
@@ -270,21 +278,22 @@
 
 static void on_nodes(struct en_node *n, const struct wr_nodes *m)
 {
-    struct ho_node *named = sr_alloc(sizeof(*named) * (size_t)(m->n + m->n_gone + 1));
+    struct ho_node *parsed = sr_alloc(sizeof(*parsed) * (size_t)(m->n + m->n_gone + 1));
     struct nl_change ch = {.from = m->from, .to = m->to};
     for (uint32_t i = 0; i < m->n; i++) {
-        if (read_node(&m->nodes[i], &named[i]))
-            ch.added[ch.n_added++] = &named[i];
+        if (parse_node(&m->nodes[i], &parsed[i]))
+            ch.added[ch.n_added++] = &parsed[i];
     }
     for (uint32_t i = 0; i < m->n_gone; i++) {
-        struct ho_node *x = &named[m->n + i];
+        struct ho_node *x = &parsed[m->n + i];
         if (sr_copy(x->name, sizeof(x->name), m->gone[i]))
             ch.removed[ch.n_removed++] = x->name;
     }
-    bool taken = nl_apply(n->nodes, &n->n_nodes, &n->nodes_hash, &ch);
-    free(named);
-    if (!taken) {
-        FL_WARN(&n->log, "a change of the list of nodes belongs to another list; asking anew");
+    bool applied = nl_apply(n->nodes, &n->n_nodes, &n->nodes_hash, &ch);
+    free(parsed);
+    if (!applied) {
+        FL_WARN(&n->log,
+                "node list update does not match the current list; requesting the full list");
         n->nodes_hash = NL_EMPTY;
         return;
     }
@@ -294,14 +303,15 @@
     en_holding_changed(n);
 }
 
-static enum wr_health health_by_watch(const struct en_inst *in, int64_t now)
+static enum wr_health health_from_watch(const struct en_inst *in, int64_t now)
 {
     if (in->refusing)
         return WR_REFUSED;
-    if (in->watch && now - in->heard <= CHECK_FRESH_US)
+    if (in->watch && now - in->heard <= HEALTH_FRESH_US)
         return WR_OK;
-    bool unread = in->watch && nt_heard_until(in->node->loop) - in->heard <= CHECK_FRESH_US;
-    return unread ? WR_UNKNOWN : WR_SILENT;
+    bool reply_may_be_unread =
+        in->watch && nt_heard_until(in->node->loop) - in->heard <= HEALTH_FRESH_US;
+    return reply_may_be_unread ? WR_UNKNOWN : WR_SILENT;
 }
 
 static void on_check(struct en_link *l, const struct wr_check *c)
@@ -312,7 +322,7 @@
     m.check.health = l->node->px ? px_health(l->node->px, c->inst) : WR_UNKNOWN;
     struct en_inst *in = sr_copy(id, sizeof(id), c->inst) ? en_inst(l->node, id) : NULL;
     if (in)
-        m.check.health = health_by_watch(in, now);
+        m.check.health = health_from_watch(in, now);
     send_msg(l, &m);
 }
 
@@ -321,7 +331,7 @@
     struct en_node *n = in->node;
     int64_t now = ck_now();
     struct en_group *g = in->group;
-    if (in->gone || now - in->suspected < SUSPECT_US || in->at != g->cfg.primary)
+    if (in->gone || now - in->suspected < SUSPECT_INTERVAL_US || in->at != g->cfg.primary)
         return;
     in->suspected = now;
     tl_add(n->tl, TL_SUSPECT, g->cfg.name, g->cfg.term, "%s %s", in->cfg.id,
@@ -338,7 +348,7 @@
         send_msg(leader(n), &m);
 }
 
-/* ---- where control is ---- */
+/* ---- addresses of control nodes ---- */
 
 static struct en_link *link_at(struct en_node *n, const char *ip, int port)
 {
@@ -350,7 +360,7 @@
     return NULL;
 }
 
-static struct en_link *add_link(struct en_node *n, const struct st_peer *peer)
+static struct en_link *find_or_add_link(struct en_node *n, const struct st_peer *peer)
 {
     struct en_link *l = link_at(n, peer->ip, peer->port);
     for (int i = 0; !l && i < EN_MAX_LINKS; i++) {
@@ -362,8 +372,8 @@
     return l;
 }
 
-/* Whether it is this node's own: an observer may be named by its own settings. */
-static bool own_address(const struct en_node *n, const struct st_peer *p)
+/* Whether the address is this node's own: the settings of an observer may list the observer. */
+static bool is_own_address(const struct en_node *n, const struct st_peer *p)
 {
     return n->s->observer && p->port == n->s->control_port &&
            strcmp(p->ip, n->s->control_ip) == 0;
@@ -373,8 +383,8 @@
 {
     struct st_peer p = {.port = port};
     if (sr_copy(p.name, sizeof(p.name), name) && sr_copy(p.ip, sizeof(p.ip), ip) &&
-        !own_address(n, &p))
-        add_link(n, &p);
+        !is_own_address(n, &p))
+        find_or_add_link(n, &p);
 }
 
 void en_links_seeds(struct en_node *n)
@@ -383,7 +393,7 @@
         n->links[i].seed = false;
     for (int i = 0; i < n->s->n_voters; i++) {
         const struct st_peer *p = &n->s->voters[i];
-        struct en_link *l = own_address(n, p) ? NULL : add_link(n, p);
+        struct en_link *l = is_own_address(n, p) ? NULL : find_or_add_link(n, p);
         if (l)
             l->seed = true;
     }
@@ -398,7 +408,8 @@
     return false;
 }
 
-/* What the leader lists is there; what it does not list and does not answer is forgotten. */
+/* Adds links to the control nodes that the list names. If the list is from the leader, links
+ * to nodes that it does not name, that are not open and not from the settings are removed. */
 static void on_controls(struct en_link *from, const struct wr_nodes *list)
 {
     struct en_node *n = from->node;
@@ -416,7 +427,7 @@
     }
 }
 
-/* ---- by kind of message ---- */
+/* ---- dispatch ---- */
 
 static void dispatch(struct en_link *l, const struct wr_msg *m)
 {
@@ -428,7 +439,7 @@
             on_grant(n, &m->grant);
         break;
     case WR_NOT_LEADER:
-        /* A node that names itself has just been elected. */
+        /* A node that reports itself as leader has just been elected. */
         if (is_leader || sr_eq(m->leader, sr_from(l->peer.name)))
             on_not_leader(n, m->leader);
         break;
@@ -454,10 +465,10 @@
     }
 }
 
-/* ---- sockets ---- */
+/* ---- connections ---- */
 
-/* Where other entry nodes send callers on to. */
-static int callers_port(const struct st_settings *s)
+/* The port that other entry nodes forward callers to. */
+static int advertised_port(const struct st_settings *s)
 {
     return s->sessions.port ? s->sessions.port : s->entry_port;
 }
@@ -476,7 +487,7 @@
         .name = sr_from(s->name),
         .domain = sr_from(s->domain),
         .ip = sr_from(s->entry_ip),
-        .port = (uint32_t)callers_port(s),
+        .port = (uint32_t)advertised_port(s),
         .role = s->observer ? WR_ROLE_OBSERVER : WR_ROLE_ENTRY,
         .id = l->node->id,
         .carries = (uint32_t)cp_statements_per_s(s->link_kbps, s->core_permille),
@@ -493,7 +504,8 @@
         dispatch(l, &m);
         return;
     }
-    FL_WARN(&l->node->log, "control %s: %s; closing", l->peer.name, err.text);
+    FL_WARN(&l->node->log, "control node %s: %s; closing the connection", l->peer.name,
+            err.text);
     nt_close(net, true);
 }
 
@@ -506,13 +518,13 @@
     l->net = NULL;
     l->open = false;
     if (leader(l->node) == l)
-        l->node->next_renew = 0; /* ask another at once */
+        l->node->next_renew = 0; /* send the next renewal at once, to another node */
     rd_closed(&l->line, ck_now());
 }
 
 static const struct nt_ops link_ops = {on_open, on_message, on_close};
 
-/* ---- start and time ---- */
+/* ---- start and timer ---- */
 
 void en_links_start(struct en_node *n)
 {
@@ -535,5 +547,5 @@
             nt_close(l->net, true);
         }
     }
-    renew_tick(n, now);
+    renewal_tick(n, now);
 }
--- a/entry/pool.c
+++ b/entry/pool.c
@@ -1,23 +1,25 @@
-/* Endpoint connections: opening within the share, watching positions, sending statements. */
+/* Endpoint connections of the entry role: opens at most this node's share of connections per
+ * instance, polls the positions of instances, and sends statements. */
 #include <stdlib.h>
 
 #include "entry/entry.h"
 #include "misc/clock.h"
 
-/* Ids of a connection's requests go up from a number drawn for it: counted from one on each, an
- * answer that an instance sends on the wrong connection had the id that is waited for there
- * wherever two connections were equally old. JSON holds integers of 53 bits exactly. */
-#define ID_SPAN (1ull << 48)
+/* The request ids of a connection count up from a random number below this bound. If each
+ * connection counted from 1, a reply that an instance sends on the wrong connection would match
+ * the pending id there whenever both connections had sent equally many requests. JSON
+ * represents integers up to 53 bits exactly. */
+#define FIRST_ID_BOUND (1ull << 48)
 
 enum {
-    REOPEN_US = 50000, /* between tries to connect to an instance that refused */
-    STATUS_US = 25000, /* between position requests to a primary */
-    STATUS_REPLICA_US = 50000,
-    STATUS_IDLE_US = 100000, /* of a group that nobody asks for; under CHECK_FRESH_US */
-    IDLE_AFTER_US = 2000000,
-    SILENT_US = 200000, /* unanswered status: not usable for new work */
-    STATUS_LOST_US = 1000000,
-    ORPHAN_US = 2000000,
+    RECONNECT_DELAY_US = 50000, /* after a connection attempt that failed */
+    STATUS_PRIMARY_US = 25000,  /* between status requests to a primary */
+    STATUS_REPLICA_US = 50000,  /* between status requests to a replica */
+    STATUS_IDLE_US = 100000,    /* in an idle group; must be below HEALTH_FRESH_US (link.c) */
+    GROUP_IDLE_AFTER_US = 2000000, /* a group without requests for this long is idle */
+    STATUS_TIMEOUT_US = 200000,  /* no new work while a status request is pending for longer */
+    WATCH_TIMEOUT_US = 1000000,  /* a status request pending for longer closes the connection */
+    ORPHAN_TIMEOUT_US = 2000000, /* longest wait for the reply to an abandoned request */
 };
 
 void en_inst_init(struct en_inst *in, struct en_node *n, struct en_group *g, int at,
@@ -31,8 +33,9 @@
     ad_init(&in->q, &ac, rn_next(&n->rng));
 }
 
-/* It was asked and has not answered in so long, as far as answers were read. */
-static bool unanswered(const struct en_inst *in, int64_t us)
+/* Whether a status request has been pending for at least `us`. Replies that were received but
+ * not yet read don't count as missing. */
+static bool status_overdue(const struct en_inst *in, int64_t us)
 {
     return in->status_sent && nt_heard_until(in->node->loop) - in->status_sent >= us;
 }
@@ -41,12 +44,12 @@
 {
     if (!in->watch || !in->watch->open)
         return false;
-    return !unanswered(in, SILENT_US);
+    return !status_overdue(in, STATUS_TIMEOUT_US);
 }
 
-/* ---- events of a connection ---- */
+/* ---- connection events ---- */
 
-static void note_positions(struct en_inst *in, const struct ep_reply *r, int64_t now)
+static void record_positions(struct en_inst *in, const struct ep_reply *r, int64_t now)
 {
     struct en_group *g = in->group;
     in->heard = now;
@@ -67,9 +70,9 @@
     struct en_group *g = in->group;
     if (r->primary && in->at == g->cfg.primary && r->term == g->serve_term)
         rt_record_primary_pos(&g->rt, ep->status_at, r->held);
-    note_positions(in, r, now);
+    record_positions(in, r, now);
     if (g->n_parked && in->at == g->cfg.primary)
-        en_unpark(g); /* it answers again */
+        en_unpark(g); /* the primary answers, so parked requests can be routed */
 }
 
 static void send_status(struct en_ep *ep, enum ep_op op, int64_t now)
@@ -81,7 +84,7 @@
     ep->inst->node->driver->send(ep->c, &q);
 }
 
-static void count_open(struct en_inst *in)
+static void update_admission_max(struct en_inst *in)
 {
     int open = 0;
     for (struct en_ep *e = in->eps; e; e = e->next)
@@ -89,8 +92,9 @@
     ad_set_max(&in->q, open);
 }
 
-/* Some open connection must carry pushes and status polls, or the instance counts as gone. */
-static void choose_watch(struct en_inst *in)
+/* One open connection must carry position pushes and status requests; without it the instance
+ * is not usable. */
+static void choose_watching_connection(struct en_inst *in)
 {
     for (struct en_ep *e = in->eps; e && !in->watch; e = e->next) {
         if (!e->open || e->closing)
@@ -109,8 +113,8 @@
     ep->open = true;
     in->refusing = false;
     in->heard = ck_now();
-    choose_watch(in);
-    count_open(in);
+    choose_watching_connection(in);
+    update_admission_max(in);
     if (!in->gone)
         en_unpark(in->group);
     en_pump(in);
@@ -121,7 +125,7 @@
     struct en_ep *ep = ud;
     (void)c;
     if (!ep->inst->gone)
-        note_positions(ep->inst, r, ck_now());
+        record_positions(ep->inst, r, ck_now());
 }
 
 static void on_reply(struct ep_conn *c, void *ud, const struct ep_reply *r)
@@ -134,8 +138,8 @@
         on_status(ep, r, now);
         return;
     }
-    bool ours = r->id == ep->req_id || in->node->s->off_own_id;
-    if (!ep->req_id || !ours) {
+    bool matches = r->id == ep->req_id || in->node->s->off_own_id;
+    if (!ep->req_id || !matches) {
         in->node->c.late_replies++;
         return;
     }
@@ -154,7 +158,7 @@
         in->node->c.late_replies++;
         ep->orphan = false;
         if (ep->op == EP_BEGIN)
-            en_ep_close(ep); /* nobody owns the transaction it opened */
+            en_ep_close(ep); /* no caller owns the transaction that BEGIN opened */
     }
     if (req)
         en_reply(req, ep, r);
@@ -171,14 +175,15 @@
         *at = ep->next;
 }
 
-/* Everything that depended on the connection hears of it. */
+/* Fails the request and the transaction that used the connection, chooses another watching
+ * connection, and reports an unexpected close to control. */
 static void on_close(struct ep_conn *c, void *ud, bool opened, bool refused)
 {
     struct en_ep *ep = ud;
     struct en_inst *in = ep->inst;
     struct en_req *req = ep->req;
     struct en_txn *txn = ep->txn;
-    bool counted = ep->req_id != 0 && !txn && !ep->rolling_back;
+    bool counted_in_flight = ep->req_id != 0 && !txn && !ep->rolling_back;
     (void)c;
     ep->c = NULL;
     unlink_ep(ep);
@@ -187,10 +192,10 @@
         in->watch = NULL;
         in->status_sent = 0;
     }
-    if (opened && counted)
+    if (opened && counted_in_flight)
         ad_dropped(&in->q);
-    count_open(in);
-    bool unasked = !ep->closing;
+    update_admission_max(in);
+    bool unexpected = !ep->closing;
     free(ep);
     if (in->gone) {
         if (req)
@@ -202,9 +207,9 @@
         return;
     }
     in->refusing = refused;
-    choose_watch(in);
-    if (unasked) {
-        in->next_open = ck_now() + (opened ? 0 : REOPEN_US);
+    choose_watching_connection(in);
+    if (unexpected) {
+        in->next_open = ck_now() + (opened ? 0 : RECONNECT_DELAY_US);
         en_suspect(in, refused ? WR_REFUSED : WR_SILENT);
     }
     if (txn)
@@ -217,18 +222,18 @@
 
 /* ---- opening and closing ---- */
 
-static void open_one(struct en_inst *in)
+static void open_connection(struct en_inst *in)
 {
     struct en_ep *ep = sr_alloc(sizeof(*ep));
-    char who[64];
-    snprintf(who, sizeof(who), "entry:%s", in->node->s->name);
+    char client_name[64];
+    snprintf(client_name, sizeof(client_name), "entry:%s", in->node->s->name);
     ep->inst = in;
-    ep->last_id = rn_below(&in->node->rng, ID_SPAN);
+    ep->last_id = rn_below(&in->node->rng, FIRST_ID_BOUND);
     ep->next = in->eps;
     in->eps = ep;
     in->n_conns++;
     struct ep_target to = {in->cfg.ip, in->cfg.port, in->group->cfg.name, in->cfg.id};
-    ep->c = in->node->driver->open(in->node->loop, &to, who, &events, ep);
+    ep->c = in->node->driver->open(in->node->loop, &to, client_name, &events, ep);
 }
 
 void en_ep_close(struct en_ep *ep)
@@ -247,40 +252,41 @@
     return n;
 }
 
-static struct en_ep *idle_ep(const struct en_inst *in)
+static struct en_ep *idle_connection(const struct en_inst *in)
 {
-    bool pinned = !in->node->s->off_pinning;
+    bool pinning = !in->node->s->off_pinning;
     for (struct en_ep *e = in->eps; e; e = e->next) {
-        if (e->open && !e->closing && !e->req_id && !(e->txn && pinned) && !e->req)
+        if (e->open && !e->closing && !e->req_id && !(e->txn && pinning) && !e->req)
             return e;
     }
     return NULL;
 }
 
-/* Whether something still waits for positions that come over the watching connections. */
+/* Whether positions from the watching connection are still needed: by this node's share, or by
+ * writes that run or wait for acknowledgement. */
 static bool watch_needed(const struct en_inst *in)
 {
     return in->share > 0 || in->group->holding || en_writes_in_flight(in->group) > 0;
 }
 
-/* Close an idle connection when there are more than the share. */
-static void shrink(struct en_inst *in)
+/* Closes idle connections beyond the share. */
+static void close_excess(struct en_inst *in)
 {
-    int over = in->n_conns - in->share;
-    for (struct en_ep *e = in->eps; e && over > 0; e = e->next) {
+    int excess = in->n_conns - in->share;
+    for (struct en_ep *e = in->eps; e && excess > 0; e = e->next) {
         if (e->closing) {
-            over--;
+            excess--;
             continue;
         }
         bool idle = !e->req_id && !e->txn && !e->req;
         if (idle && (!e->watching || !watch_needed(in))) {
             en_ep_close(e);
-            over--;
+            excess--;
         }
     }
 }
 
-static int wanted(const struct en_inst *in)
+static int wanted_connections(const struct en_inst *in)
 {
     int n = in->q.queued + in->q.in_flight;
     if (n > in->cfg.max_conns)
@@ -288,36 +294,37 @@
     return n < 1 ? 1 : n;
 }
 
-/* The most that was wanted since the last renewal goes to control. */
-static void note_want(struct en_inst *in)
+/* Records the peak demand since the last lease renewal, which reports it to control. */
+static void record_peak_want(struct en_inst *in)
 {
-    int want = wanted(in);
+    int want = wanted_connections(in);
     if (want > in->peak_want)
         in->peak_want = want;
 }
 
-/* A connection that owes a reply for far too long is closed: what it owes will not come. */
-static void close_stuck(struct en_inst *in)
+/* Closes connections whose reply is so late that none is expected any more. */
+static void close_unresponsive(struct en_inst *in)
 {
     struct en_ep *w = in->watch;
     int64_t heard = nt_heard_until(in->node->loop);
-    if (w && unanswered(in, STATUS_LOST_US))
+    if (w && status_overdue(in, WATCH_TIMEOUT_US))
         en_ep_close(w);
     for (struct en_ep *e = in->eps; e; e = e->next) {
-        if (e->orphan && heard - e->sent_at > ORPHAN_US)
+        if (e->orphan && heard - e->sent_at > ORPHAN_TIMEOUT_US)
             en_ep_close(e);
     }
 }
 
-/* Of hundreds of groups most rest: their positions are asked for less often. */
-static int64_t poll_every(const struct en_inst *in, int64_t now)
+/* Time between status requests. Most of several hundred groups are idle, and the positions of
+ * their instances are polled less often. */
+static int64_t status_interval(const struct en_inst *in, int64_t now)
 {
     const struct en_group *g = in->group;
     if (g->holding && !in->node->s->pushes)
-        return 0; /* writes wait for what this instance holds: ask again and again */
-    if (now - g->used > IDLE_AFTER_US)
+        return 0; /* writes wait for this instance's position: poll at every tick */
+    if (now - g->used > GROUP_IDLE_AFTER_US)
         return STATUS_IDLE_US;
-    return in->at == g->cfg.primary ? STATUS_US : STATUS_REPLICA_US;
+    return in->at == g->cfg.primary ? STATUS_PRIMARY_US : STATUS_REPLICA_US;
 }
 
 bool en_inst_rests(const struct en_inst *in)
@@ -327,18 +334,18 @@
 
 void en_pool_tick(struct en_inst *in, int64_t now)
 {
-    note_want(in);
-    shrink(in);
-    close_stuck(in);
+    record_peak_want(in);
+    close_excess(in);
+    close_unresponsive(in);
     if (in->n_conns == 0 && in->share > 0 && in->group->held && now >= in->next_open)
-        open_one(in);
+        open_connection(in);
     struct en_ep *w = in->watch;
     if (!w || !w->open)
         return;
-    int64_t every = poll_every(in, now);
-    if (!w->status_id && now - w->status_at >= every)
+    int64_t interval = status_interval(in, now);
+    if (!w->status_id && now - w->status_at >= interval)
         send_status(w, EP_STATUS, now);
-    if (unanswered(in, SILENT_US))
+    if (status_overdue(in, STATUS_TIMEOUT_US))
         en_suspect(in, WR_SILENT);
 }
 
@@ -375,7 +382,7 @@
     return false;
 }
 
-static void fill(const struct en_req *r, struct ep_request *q, char *claim, size_t cap)
+static void fill_request(const struct en_req *r, struct ep_request *q, char *claim, size_t cap)
 {
     static const enum ep_op ops[] = {EP_READ, EP_WRITE, EP_BEGIN, EP_COMMIT, EP_ROLLBACK};
     q->op = ops[r->r.kind];
@@ -392,22 +399,23 @@
     }
 }
 
-static void start(struct en_inst *in, struct en_ep *ep, struct en_req *r)
+static void start_request(struct en_inst *in, struct en_ep *ep, struct en_req *r)
 {
     char claim[CL_ACCOUNT + CL_ID + 2];
     struct ep_request q = {0};
     r->term = r->at_primary ? in->group->serve_term : 0;
-    fill(r, &q, claim, sizeof(claim));
+    fill_request(r, &q, claim, sizeof(claim));
     if (en_ep_send(ep, r, &q))
         return;
-    /* Nothing left this process: it may go elsewhere. */
+    /* Nothing was sent, so the request may run at another instance. */
     ad_dropped(&in->q);
     r->tried |= 1u << in->at;
     en_later(r, ER_NONE, 0);
 }
 
-/* A request leaves the queue only to run under the view it was queued for. */
-static bool still_right(const struct en_inst *in, const struct en_req *r)
+/* Whether the current view still allows the request at this instance. A request for the primary
+ * needs a serving group, this instance as its primary, and a valid lease. */
+static bool valid_in_current_view(const struct en_inst *in, const struct en_req *r)
 {
     const struct en_group *g = in->group;
     if (!r->at_primary)
@@ -419,33 +427,34 @@
 {
     int64_t now = ck_now(), retry;
     struct ad_item *it;
-    note_want(in);
+    record_peak_want(in);
     while ((it = ad_hopeless(&in->q, now, &retry)))
         en_later((struct en_req *)it, ER_OVERLOAD, retry);
     struct en_ep *ep;
-    while (in->q.queued > 0 && (ep = idle_ep(in)) && (it = ad_next(&in->q, now))) {
+    while (in->q.queued > 0 && (ep = idle_connection(in)) && (it = ad_next(&in->q, now))) {
         struct en_req *r = (struct en_req *)it;
-        if (!still_right(in, r)) {
+        if (!valid_in_current_view(in, r)) {
             ad_dropped(&in->q);
             en_later(r, ER_NONE, 0);
             continue;
         }
-        start(in, ep, r);
+        start_request(in, ep, r);
     }
-    bool room = in->n_conns < in->share && in->group->held && n_opening(in) < in->q.queued;
-    if (in->q.queued > 0 && room && now >= in->next_open)
-        open_one(in);
+    bool may_open = in->n_conns < in->share && in->group->held && n_opening(in) < in->q.queued;
+    if (in->q.queued > 0 && may_open && now >= in->next_open)
+        open_connection(in);
 }
 
 void en_inst_let_go(struct en_inst *in)
 {
     struct ad_item *it;
-    in->share = 0; /* the pool closes what is idle */
+    in->share = 0; /* en_pool_tick closes the idle connections */
     while ((it = ad_pop_any(&in->q)))
         en_later((struct en_req *)it, ER_NONE, 0);
 }
 
-/* The instance left the view: what waits is routed anew, what runs may end. */
+/* The instance was removed from the view: queued requests are routed again, running ones may
+ * finish. */
 void en_inst_gone(struct en_inst *in)
 {
     struct ad_item *it;
