--- a/entry/forward.c
+++ b/entry/forward.c
@@ -18,14 +18,14 @@
     struct en_group *group;   /* not of a shared one */
     struct nt_conn *net;
     char holder[32];
-    bool open, leaving;
+    bool open, draining;
     int txns;                     /* transactions open at the holder */
     struct en_req *sent, *unsent; /* by chain */
 };
 
 /* ---- lists ---- */
 
-static void add(struct en_req **list, struct en_req *r)
+static void append_request(struct en_req **list, struct en_req *r)
 {
     while (*list)
         list = &(*list)->chain;
@@ -33,7 +33,7 @@
     *list = r;
 }
 
-static struct en_req *take(struct en_req **list, uint64_t tag)
+static struct en_req *remove_by_tag(struct en_req **list, uint64_t tag)
 {
     while (*list && (*list)->up_tag != tag)
         list = &(*list)->chain;
@@ -59,7 +59,7 @@
 
 /* ---- sending ---- */
 
-static void send_one(struct en_up *up, struct en_req *r)
+static void send_request(struct en_up *up, struct en_req *r)
 {
     struct sr_buf b = {0};
     struct cl_request q = r->r;
@@ -69,10 +69,10 @@
     up->node->c.forwarded++;
     bool sent = nt_send(up->net, b.p, b.len);
     sr_buf_free(&b);
-    add(sent ? &up->sent : &up->unsent, r);
+    append_request(sent ? &up->sent : &up->unsent, r);
 }
 
-static void count_txn(struct en_up *up, const struct en_req *r, enum er_kind kind)
+static void update_txn_count(struct en_up *up, const struct en_req *r, enum er_kind kind)
 {
     if (r->r.kind == CL_BEGIN && kind == ER_NONE)
         up->txns++;
@@ -89,11 +89,11 @@
     while (up->unsent) {
         struct en_req *r = up->unsent;
         up->unsent = r->chain;
-        send_one(up, r);
+        send_request(up, r);
     }
 }
 
-static enum er_kind kind_of(const json_t *a)
+static enum er_kind error_kind_of(const json_t *a)
 {
     const char *reason = json_string_value(json_object_get(a, "reason"));
     for (int k = 1; reason && k < ER_COUNT; k++) {
@@ -104,18 +104,18 @@
 }
 
 /* The holder stops, or does not hold the group: certainly not run, so another may. */
-static bool elsewhere(const struct en_req *r, enum er_kind kind)
+static bool may_try_another_holder(const struct en_req *r, enum er_kind kind)
 {
     return !r->r.txn[0] && (kind == ER_STOPPING || kind == ER_ENDPOINT);
 }
 
-static void answered(struct en_up *up, struct en_req *r, const char *data, size_t len,
-                     enum er_kind kind)
+static void handle_answer(struct en_up *up, struct en_req *r, const char *data, size_t len,
+                          enum er_kind kind)
 {
-    count_txn(up, r, kind);
-    if (elsewhere(r, kind)) {
+    update_txn_count(up, r, kind);
+    if (may_try_another_holder(r, kind)) {
         /* A holder that gave up one group goes on with what it holds of others. */
-        up->leaving = up->leaving || !up->shared || kind == ER_STOPPING;
+        up->draining = up->draining || !up->shared || kind == ER_STOPPING;
         r->forwards++;
         en_later(r, ER_NONE, 0);
         return;
@@ -130,22 +130,22 @@
     size_t rest = len;
     uint64_t tag = cl_untag(data, &rest);
     if (json_object_get(a, "notice"))
-        up->leaving = true;
-    struct en_req *r = a && tag ? take(&up->sent, tag) : NULL;
+        up->draining = true;
+    struct en_req *r = a && tag ? remove_by_tag(&up->sent, tag) : NULL;
     if (r) {
         r->up = NULL;
         r->chain = NULL;
-        answered(up, r, data, rest, kind_of(a));
+        handle_answer(up, r, data, rest, error_kind_of(a));
     } else if (tag) {
         up->node->c.late_replies++; /* its request was given up */
     }
     json_decref(a);
-    if (up->leaving && !up->sent && !up->unsent && !up->txns)
+    if (up->draining && !up->sent && !up->unsent && !up->txns)
         nt_close(net, false);
 }
 
 /* What was sent may have run; what was not goes elsewhere. */
-static void fail_all(struct en_up *up)
+static void fail_requests(struct en_up *up)
 {
     struct en_req *r;
     while ((r = up->unsent)) {
@@ -157,7 +157,7 @@
     while ((r = up->sent)) {
         FL_VERBOSE(&up->node->log, "holder %s closed while it owed an answer to %s %s%s",
                    up->holder, cl_kind_name(r->r.kind), r->r.id,
-                   up->leaving ? ", leaving" : "");
+                   up->draining ? ", leaving" : "");
         up->sent = r->chain;
         r->up = NULL;
         r->chain = NULL;
@@ -179,7 +179,7 @@
         at = &(*at)->next;
     *at = up->next;
     up->net = NULL;
-    fail_all(up);
+    fail_requests(up);
     free(up);
 }
 
@@ -188,14 +188,14 @@
 /* ---- choosing ---- */
 
 /* The holder for this try: those of our own failure domain first. */
-static const struct ho_node *choose(const struct en_node *n, const struct en_group *g,
-                                    int attempt)
+static const struct ho_node *choose_holder(const struct en_node *n, const struct en_group *g,
+                                           int attempt)
 {
     int order[HO_MAX_HOLDERS], k = 0;
-    for (int near = 1; near >= 0; near--) {
+    for (int same_domain = 1; same_domain >= 0; same_domain--) {
         for (int i = 0; i < g->n_holders; i++) {
             const struct ho_node *x = &n->nodes[g->holders[i]];
-            if ((strcmp(x->domain, n->s->domain) == 0) == near &&
+            if ((strcmp(x->domain, n->s->domain) == 0) == same_domain &&
                 strcmp(x->name, n->s->name) != 0)
                 order[k++] = g->holders[i];
         }
@@ -205,7 +205,7 @@
 
 /* Shared ones first: they are looked for at every statement, past none of the thousands that
  * callers' transactions may have. */
-static void link_up(struct en_node *n, struct en_up *up)
+static void insert_upstream(struct en_node *n, struct en_up *up)
 {
     struct en_up **at = &n->ups;
     while (!up->shared && *at)
@@ -214,26 +214,26 @@
     *at = up;
 }
 
-static struct en_up *up_for(struct en_req *r)
+static struct en_up *upstream_for(struct en_req *r)
 {
     struct en_node *n = r->caller->node;
-    bool pinned = r->r.txn[0] != 0, own = pinned || r->r.kind == CL_BEGIN;
-    const struct ho_node *h = choose(n, r->group, r->forwards);
+    bool pinned = r->r.txn[0] != 0, needs_own = pinned || r->r.kind == CL_BEGIN;
+    const struct ho_node *h = choose_holder(n, r->group, r->forwards);
     for (struct en_up *up = n->ups; up; up = up->next) {
-        bool mine = own && up->caller == r->caller && up->group == r->group;
-        bool common = !own && up->shared && h && strcmp(up->holder, h->name) == 0;
-        if ((mine || common) && (!up->leaving || pinned))
+        bool own_match = needs_own && up->caller == r->caller && up->group == r->group;
+        bool shared_match = !needs_own && up->shared && h && strcmp(up->holder, h->name) == 0;
+        if ((own_match || shared_match) && (!up->draining || pinned))
             return up;
     }
     if (!h)
         return NULL;
     struct en_up *up = sr_alloc(sizeof(*up));
     up->node = n;
-    up->shared = !own;
-    up->caller = own ? r->caller : NULL;
-    up->group = own ? r->group : NULL;
+    up->shared = !needs_own;
+    up->caller = needs_own ? r->caller : NULL;
+    up->group = needs_own ? r->group : NULL;
     sr_copy(up->holder, sizeof(up->holder), sr_from(h->name));
-    link_up(n, up);
+    insert_upstream(n, up);
     up->net = nt_connect(n->loop, h->ip, h->port, false, &up_ops, up);
     return up;
 }
@@ -245,7 +245,7 @@
         en_fail(r, ER_ENDPOINT, 50, "this node holds no connections to the group");
         return;
     }
-    struct en_up *up = up_for(r);
+    struct en_up *up = upstream_for(r);
     if (!up) {
         en_fail(r, ER_ENDPOINT, 200, "no holder of the group is known");
         return;
@@ -253,9 +253,9 @@
     r->state = EN_FORWARDED;
     r->up = up;
     if (up->open)
-        send_one(up, r);
+        send_request(up, r);
     else
-        add(&up->unsent, r);
+        append_request(&up->unsent, r);
 }
 
 void en_ups_caller_gone(struct en_caller *c)
--- a/entry/observer.c
+++ b/entry/observer.c
@@ -14,10 +14,12 @@
     struct en_node *node;
     struct nt_conn *net;
     bool greeted;
-    uint64_t told; /* hash of the list it was told; 0 none */
+    uint64_t sent_hash; /* hash of the list it was told; 0 none */
 };
 
-enum { MAX_ASKERS = 2048 }; /* connections; as many as a control node takes (CT_MAX_CONNS) */
+enum {
+    MAX_PEER_CONNS = 2048
+}; /* connections; as many as a control node takes (CT_MAX_CONNS) */
 
 static void send_msg(struct en_asker *c, const struct wr_msg *m)
 {
@@ -30,8 +32,8 @@
 /* ---- telling ---- */
 
 /* The control nodes that this one is connected to: nobody is sent where nobody answers. */
-static uint32_t reachable(const struct en_node *n, struct wr_node nodes[EN_MAX_LINKS],
-                          uint64_t *hash)
+static uint32_t reachable_controls(const struct en_node *n, struct wr_node nodes[EN_MAX_LINKS],
+                                   uint64_t *hash)
 {
     uint32_t k = 0;
     *hash = 1; /* in any order; 0 is who was told nothing */
@@ -52,12 +54,12 @@
 {
     struct wr_node nodes[EN_MAX_LINKS];
     uint64_t hash;
-    uint32_t k = reachable(n, nodes, &hash);
+    uint32_t k = reachable_controls(n, nodes, &hash);
     struct wr_msg m = {.type = WR_CONTROLS, .nodes = {k, nodes}};
     for (struct en_asker *c = n->askers; k > 0 && c; c = c->next) {
-        if (!c->greeted || c->told == hash)
+        if (!c->greeted || c->sent_hash == hash)
             continue;
-        c->told = hash;
+        c->sent_hash = hash;
         send_msg(c, &m);
     }
 }
@@ -74,9 +76,9 @@
 static void on_hello(struct en_asker *c, const struct wr_hello *h)
 {
     struct en_node *n = c->node;
-    const char *wrong = wr_hello_wrong(h, n->s->cluster, n->id);
-    if (wrong) {
-        FL_WARN(&n->log, "a peer is refused: %s", wrong);
+    const char *mismatch = wr_hello_wrong(h, n->s->cluster, n->id);
+    if (mismatch) {
+        FL_WARN(&n->log, "a peer is refused: %s", mismatch);
         nt_close(c->net, true);
         return;
     }
@@ -126,7 +128,7 @@
 static void *accept_conn(struct nt_conn *net, void *ud)
 {
     struct en_node *n = ud;
-    if (n->n_askers >= MAX_ASKERS)
+    if (n->n_askers >= MAX_PEER_CONNS)
         return NULL;
     struct en_asker *c = sr_alloc(sizeof(*c));
     c->node = n;
--- a/entry/ops.c
+++ b/entry/ops.c
@@ -6,12 +6,12 @@
 
 /* A node whose lease was lost a moment ago still serves what needs none, and an election that
  * all nodes notice must not take all of them out of the balancer at once. */
-enum { READY_WITHOUT_US = 300000 };
+enum { READY_WITHOUT_LEASE_US = 300000 };
 
-static void reply_json(const struct nt_http *req, int status, json_t *o)
+static void reply_json(const struct nt_http *req, int status_json, json_t *o)
 {
     char *s = json_dumps(o, JSON_COMPACT);
-    nt_http_reply(req->conn, status, "application/json", s, strlen(s));
+    nt_http_reply(req->conn, status_json, "application/json", s, strlen(s));
     free(s);
     json_decref(o);
 }
@@ -24,7 +24,7 @@
         return "no view yet";
     if (n->px && !px_configured(n->px))
         return "no document yet";
-    if (!en_leased(n) && nt_heard_until(n->loop) - n->lease_lost_at > READY_WITHOUT_US)
+    if (!en_leased(n) && nt_heard_until(n->loop) - n->lease_lost_at > READY_WITHOUT_LEASE_US)
         return "no lease";
     return NULL;
 }
@@ -93,7 +93,7 @@
                   (long long)s->longest_stall_us);
 }
 
-static void metrics(const struct nt_http *req, struct en_node *n)
+static void reply_metrics(const struct nt_http *req, struct en_node *n)
 {
     struct sr_buf b = {0};
     put_counters(&b, &n->c);
@@ -129,21 +129,21 @@
 }
 
 /* For how many groups an account's sessions meet at which node. */
-static json_t *places_by_node(struct en_node *n, const char *account)
+static json_t *placement_by_node(struct en_node *n, const char *account)
 {
     json_t *o = json_object();
     for (int g = 0; g < n->view.n; g++) {
         const char *nodes[HO_MAX_HOLDERS];
         int k = px_account_nodes(n->px, n->view.groups[g].name, account, nodes);
         for (int i = 0; i < k; i++) {
-            json_int_t had = json_integer_value(json_object_get(o, nodes[i]));
-            json_object_set_new(o, nodes[i], json_integer(had + 1));
+            json_int_t previous = json_integer_value(json_object_get(o, nodes[i]));
+            json_object_set_new(o, nodes[i], json_integer(previous + 1));
         }
     }
     return o;
 }
 
-static json_t *places_by_group(struct en_node *n, const char *account)
+static json_t *placement_by_group(struct en_node *n, const char *account)
 {
     json_t *o = json_object();
     for (int g = 0; g < n->view.n; g++) {
@@ -159,21 +159,21 @@
 
 /* Where client accounts are placed: of those that this node serves most, how many groups at
  * which node; of one that is named, group by group. */
-static json_t *places(struct en_node *n, const char *account)
+static json_t *placement_json(struct en_node *n, const char *account)
 {
     const char *names[PX_ACCOUNTS_LISTED];
     if (!n->px)
         return json_object();
     if (account[0])
-        return places_by_group(n, account);
+        return placement_by_group(n, account);
     json_t *o = json_object();
     int k = px_accounts_by_use(n->px, names);
     for (int i = 0; i < k; i++)
-        json_object_set_new(o, names[i], places_by_node(n, names[i]));
+        json_object_set_new(o, names[i], placement_by_node(n, names[i]));
     return o;
 }
 
-static json_t *status(struct en_node *n)
+static json_t *status_json(struct en_node *n)
 {
     const char *why = en_not_ready(n);
     json_t *groups = json_array();
@@ -203,13 +203,13 @@
         reply_json(req, why ? 503 : 200,
                    json_pack("{s:b,s:s}", "ready", why == NULL, "why", why ? why : ""));
     } else if (strcmp(req->path, "/metrics") == 0) {
-        metrics(req, n);
+        reply_metrics(req, n);
     } else if (strcmp(req->path, "/v1/status") == 0) {
-        reply_json(req, 200, status(n));
+        reply_json(req, 200, status_json(n));
     } else if (strcmp(req->path, "/v1/places") == 0) {
-        reply_json(req, 200, places(n, ""));
+        reply_json(req, 200, placement_json(n, ""));
     } else if (strncmp(req->path, "/v1/places/", 11) == 0) {
-        reply_json(req, 200, places(n, req->path + 11));
+        reply_json(req, 200, placement_json(n, req->path + 11));
     } else if (strcmp(req->path, "/v1/timeline") == 0) {
         reply_json(req, 200, tl_json(n->tl, n->s->name));
     } else {
