--- a/entry/forward.c
+++ b/entry/forward.c
@@ -1,26 +1,28 @@
-/* Forwarding to a holder: a group whose instances this node holds no connections to.
+/* Forwards requests for groups whose instances this node holds no connections to. The requests
+ * go to a holder: an entry node that has connections to the group.
  *
- * The node acts as a caller of the holder. One connection a holder carries the statements of
- * all its own callers, told apart by tags, since callers choose their ids themselves; a
- * transaction has a connection of its own, for its caller and group, so that it ends with its
- * caller. The holder's answers are passed on as they are. A request that was forwarded once is
- * never forwarded again. */
+ * This node acts as a caller of the holder. One shared connection per holder carries the
+ * statements of all callers of this node. A tag identifies each request, because callers choose
+ * their request ids themselves and these may collide. Transactions use a separate connection
+ * per caller and group, so that they end when the caller disconnects. The holder's answers are
+ * passed on unchanged. A request that was forwarded once is never forwarded again. */
 #include <stdlib.h>
 
 #include "entry/entry.h"
 #include "misc/clock.h"
 
+/* A connection to a holder (upstream). */
 struct en_up {
-    struct en_up *next; /* the node's */
+    struct en_up *next; /* in the node's list */
     struct en_node *node;
-    bool shared;              /* by all callers; else a caller's for transactions of a group */
-    struct en_caller *caller; /* NULL: gone, or shared */
-    struct en_group *group;   /* not of a shared one */
+    bool shared; /* by all callers; otherwise for one caller's transactions of a group */
+    struct en_caller *caller; /* NULL: shared, or the caller has disconnected */
+    struct en_group *group;   /* NULL: shared */
     struct nt_conn *net;
     char holder[32];
-    bool open, draining;
+    bool open, draining;          /* draining: no new requests; closes after the last answer */
     int txns;                     /* transactions open at the holder */
-    struct en_req *sent, *unsent; /* by chain */
+    struct en_req *sent, *unsent; /* linked by `chain` */
 };
 
 /* ---- lists ---- */
@@ -103,7 +105,8 @@
     return ER_NONE;
 }
 
-/* The holder stops, or does not hold the group: certainly not run, so another may. */
+/* Whether another holder may run the request: this one stops or does not hold the group, and
+ * has certainly not run the request. */
 static bool may_try_another_holder(const struct en_req *r, enum er_kind kind)
 {
     return !r->r.txn[0] && (kind == ER_STOPPING || kind == ER_ENDPOINT);
@@ -114,7 +117,8 @@
 {
     update_txn_count(up, r, kind);
     if (may_try_another_holder(r, kind)) {
-        /* A holder that gave up one group goes on with what it holds of others. */
+        /* A holder that released one group still serves its other groups, so a shared
+         * connection stays in use unless the holder stops. */
         up->draining = up->draining || !up->shared || kind == ER_STOPPING;
         r->forwards++;
         en_later(r, ER_NONE, 0);
@@ -137,14 +141,14 @@
         r->chain = NULL;
         handle_answer(up, r, data, rest, error_kind_of(a));
     } else if (tag) {
-        up->node->c.late_replies++; /* its request was given up */
+        up->node->c.late_replies++; /* the request was abandoned */
     }
     json_decref(a);
     if (up->draining && !up->sent && !up->unsent && !up->txns)
         nt_close(net, false);
 }
 
-/* What was sent may have run; what was not goes elsewhere. */
+/* Requests that were not sent are routed again; requests that were sent may have run. */
 static void fail_requests(struct en_up *up)
 {
     struct en_req *r;
@@ -155,15 +159,15 @@
         en_later(r, ER_NONE, 0);
     }
     while ((r = up->sent)) {
-        FL_VERBOSE(&up->node->log, "holder %s closed while it owed an answer to %s %s%s",
+        FL_VERBOSE(&up->node->log, "holder %s closed the connection before it answered %s %s%s",
                    up->holder, cl_kind_name(r->r.kind), r->r.id,
-                   up->draining ? ", leaving" : "");
+                   up->draining ? ", draining" : "");
         up->sent = r->chain;
         r->up = NULL;
         r->chain = NULL;
         r->forwards++;
         if (r->r.txn[0] && r->r.kind != CL_COMMIT)
-            en_fail(r, ER_BAD_TXN, 0, "the transaction was lost with its entry node");
+            en_fail(r, ER_BAD_TXN, 0, "the transaction was lost: its holder disconnected");
         else
             en_lost(r);
     }
@@ -185,9 +189,9 @@
 
 static const struct nt_ops up_ops = {on_open, on_message, on_close};
 
-/* ---- choosing ---- */
+/* ---- choosing a holder ---- */
 
-/* The holder for this try: those of our own failure domain first. */
+/* The holder for this attempt. Holders in this node's failure domain come first. */
 static const struct ho_node *choose_holder(const struct en_node *n, const struct en_group *g,
                                            int attempt)
 {
@@ -203,8 +207,8 @@
     return k ? &n->nodes[order[attempt % k]] : NULL;
 }
 
-/* Shared ones first: they are looked for at every statement, past none of the thousands that
- * callers' transactions may have. */
+/* Shared connections come first in the list: each statement searches for one, and callers'
+ * transactions may have thousands of connections. */
 static void insert_upstream(struct en_node *n, struct en_up *up)
 {
     struct en_up **at = &n->ups;
@@ -263,7 +267,7 @@
     for (struct en_up *up = c->node->ups; up; up = up->next) {
         if (up->caller != c)
             continue;
-        up->caller = NULL; /* its address may be used again */
+        up->caller = NULL; /* another caller may get the same address */
         nt_close(up->net, true);
     }
 }
--- a/entry/observer.c
+++ b/entry/observer.c
@@ -1,25 +1,24 @@
-/* A control node without a disk. It takes no callers and keeps nothing; it knows by its links
- * where the voters are, and who leads, and tells whoever connects to it: settings may name
- * observers only by the time a process starts. Voters connect to it as to any address that the
- * settings name, so it learns of them even if its own settings name none. */
+/* Observer: a control node without a disk. It accepts no callers and stores nothing. It knows
+ * from its links to control which voters are reachable and which one leads, and sends that to
+ * every process that connects. Thus the settings of a process that starts may name observers
+ * only. Voters connect to an observer as to any address in their settings, so it learns of them
+ * even if its own settings name no voter. */
 #include <stdlib.h>
 
 #include <xxhash.h>
 
 #include "entry/entry.h"
 
-/* A connection that another process opened to us. */
+/* A connection that another process opened to this observer. */
 struct en_asker {
     struct en_asker *next;
     struct en_node *node;
     struct nt_conn *net;
     bool greeted;
-    uint64_t sent_hash; /* hash of the list it was told; 0 none */
+    uint64_t sent_hash; /* hash of the list last sent; 0 none */
 };
 
-enum {
-    MAX_PEER_CONNS = 2048
-}; /* connections; as many as a control node takes (CT_MAX_CONNS) */
+enum { MAX_PEER_CONNS = 2048 }; /* connections, equal to CT_MAX_CONNS of control nodes */
 
 static void send_msg(struct en_asker *c, const struct wr_msg *m)
 {
@@ -29,14 +28,14 @@
     sr_buf_free(&b);
 }
 
-/* ---- telling ---- */
+/* ---- sending ---- */
 
-/* The control nodes that this one is connected to: nobody is sent where nobody answers. */
+/* The control nodes that this node has an open connection to; others may not answer. */
 static uint32_t reachable_controls(const struct en_node *n, struct wr_node nodes[EN_MAX_LINKS],
                                    uint64_t *hash)
 {
     uint32_t k = 0;
-    *hash = 1; /* in any order; 0 is who was told nothing */
+    *hash = 1; /* a sum, so the order doesn't matter; 0 means that no list was sent */
     for (int i = 0; i < EN_MAX_LINKS; i++) {
         const struct st_peer *p = &n->links[i].peer;
         if (!n->links[i].used || !n->links[i].open)
@@ -64,21 +63,21 @@
     }
 }
 
-/* It grants nothing: whoever asks is told who does, as far as it knows. */
+/* An observer grants no leases. The answer names the leader, or nothing if none is known. */
 static void answer_renewal(struct en_asker *c)
 {
     struct wr_msg m = {.type = WR_NOT_LEADER, .leader = sr_from(en_leader_name(c->node))};
     send_msg(c, &m);
 }
 
-/* ---- hearing ---- */
+/* ---- receiving ---- */
 
 static void on_hello(struct en_asker *c, const struct wr_hello *h)
 {
     struct en_node *n = c->node;
     const char *mismatch = wr_hello_wrong(h, n->s->cluster, n->id);
     if (mismatch) {
-        FL_WARN(&n->log, "a peer is refused: %s", mismatch);
+        FL_WARN(&n->log, "hello of a peer is refused: %s", mismatch);
         nt_close(c->net, true);
         return;
     }
@@ -93,7 +92,7 @@
     struct wr_msg m;
     struct er_err err = {0};
     if (!wr_decode(&c->node->dec, data, len, &m, &err)) {
-        FL_WARN(&c->node->log, "from a peer: %s; closing", err.text);
+        FL_WARN(&c->node->log, "message from a peer: %s; closing the connection", err.text);
         nt_close(net, true);
     } else if (m.type == WR_HELLO) {
         on_hello(c, &m.hello);
--- a/entry/ops.c
+++ b/entry/ops.c
@@ -1,11 +1,13 @@
-/* What the balancer and operators ask of an entry node. Reading changes nothing. */
+/* HTTP interface of an entry node for load balancers and operators: health, readiness, metrics,
+ * status, timeline and the placement of client accounts. All requests are read-only. */
 #include <stdlib.h>
 
 #include "entry/entry.h"
 #include "misc/clock.h"
 
-/* A node whose lease was lost a moment ago still serves what needs none, and an election that
- * all nodes notice must not take all of them out of the balancer at once. */
+/* How long a node stays ready after it lost its lease. It still serves requests that need no
+ * lease, and an election interrupts the leases of all nodes, which must not remove all of them
+ * from the load balancer at once. */
 enum { READY_WITHOUT_LEASE_US = 300000 };
 
 static void reply_json(const struct nt_http *req, int status_json, json_t *o)
@@ -23,7 +25,7 @@
     if (n->view.generation == 0)
         return "no view yet";
     if (n->px && !px_configured(n->px))
-        return "no document yet";
+        return "no configuration document yet";
     if (!en_leased(n) && nt_heard_until(n->loop) - n->lease_lost_at > READY_WITHOUT_LEASE_US)
         return "no lease";
     return NULL;
@@ -128,7 +130,7 @@
     sr_buf_free(&b);
 }
 
-/* For how many groups an account's sessions meet at which node. */
+/* For each node, the number of groups whose sessions of the account are placed there. */
 static json_t *placement_by_node(struct en_node *n, const char *account)
 {
     json_t *o = json_object();
@@ -157,8 +159,8 @@
     return o;
 }
 
-/* Where client accounts are placed: of those that this node serves most, how many groups at
- * which node; of one that is named, group by group. */
+/* Placement of client accounts. With an account: its nodes for each group. Without: for the
+ * accounts that use this node most, the number of groups per node. */
 static json_t *placement_json(struct en_node *n, const char *account)
 {
     const char *names[PX_ACCOUNTS_LISTED];
