--- a/admit/admit.c
+++ b/admit/admit.c
@@ -184,7 +184,7 @@
     return (double)now + wait_us(q, (enum ad_class)c, ahead) + q->base_us;
 }
 
-struct ad_item *ad_hopeless(struct ad_queue *q, int64_t now, int64_t *retry_ms)
+struct ad_item *ad_pop_late(struct ad_queue *q, int64_t now, int64_t *retry_ms)
 {
     if (q->cfg.fifo || q->queued == 0)
         return NULL;
--- a/admit/admit.h
+++ b/admit/admit.h
@@ -2,7 +2,7 @@
  * limit on statements in flight that follows the measured queueing delay.
  *
  * Nothing waits here that can't make its deadline: it is refused when offered, or given back by
- * ad_hopeless as soon as that is known, with the time after which to come back. Pure; items
+ * ad_pop_late as soon as that is known, with the time after which to come back. Pure; items
  * belong to the caller and are linked in. */
 #ifndef FL_ADMIT_ADMIT_H
 #define FL_ADMIT_ADMIT_H
@@ -69,7 +69,7 @@
 /* The next item to run, NULL if none may run now. It counts as in flight. */
 struct ad_item *ad_next(struct ad_queue *q, int64_t now);
 /* An item that is queued and can't make its deadline any more; NULL if none. */
-struct ad_item *ad_hopeless(struct ad_queue *q, int64_t now, int64_t *retry_ms);
+struct ad_item *ad_pop_late(struct ad_queue *q, int64_t now, int64_t *retry_ms);
 /* Take out one item that is queued. */
 void ad_remove(struct ad_queue *q, struct ad_item *it);
 /* Take out everything (the instance left); NULL when empty. */
--- a/bench/overload.c
+++ b/bench/overload.c
@@ -114,7 +114,7 @@
 {
     int64_t retry;
     struct ad_item *it;
-    while ((it = ad_hopeless(&w->q[e], now, &retry)))
+    while ((it = ad_pop_late(&w->q[e], now, &retry)))
         refuse(w, (struct job *)it, now);
     while ((it = ad_next(&w->q[e], now))) {
         struct job *j = (struct job *)it;
--- a/entry/pool.c
+++ b/entry/pool.c
@@ -428,7 +428,7 @@
     int64_t now = ck_now(), retry;
     struct ad_item *it;
     record_peak_want(in);
-    while ((it = ad_hopeless(&in->q, now, &retry)))
+    while ((it = ad_pop_late(&in->q, now, &retry)))
         en_later((struct en_req *)it, ER_OVERLOAD, retry);
     struct en_ep *ep;
     while (in->q.queued > 0 && (ep = idle_connection(in)) && (it = ad_next(&in->q, now))) {
--- a/tests/unit/test_admit.c
+++ b/tests/unit/test_admit.c
@@ -108,8 +108,8 @@
     ad_next(&q, 0);
     struct ad_item *it = offer(AD_WRITE, 1, 0, CK_MS(50));
     int64_t retry = 0;
-    CU_ASSERT_PTR_NULL(ad_hopeless(&q, CK_MS(10), &retry));
-    CU_ASSERT_PTR_EQUAL(ad_hopeless(&q, CK_MS(51), &retry), it);
+    CU_ASSERT_PTR_NULL(ad_pop_late(&q, CK_MS(10), &retry));
+    CU_ASSERT_PTR_EQUAL(ad_pop_late(&q, CK_MS(51), &retry), it);
     CU_ASSERT(retry > 0);
     CU_ASSERT_EQUAL(q.queued, 0);
 }
