--- a/admit/admit.c
+++ b/admit/admit.c
@@ -241,7 +241,7 @@
     adjust(q, (double)us, now);
 }
 
-void ad_dropped(struct ad_queue *q)
+void ad_cancel(struct ad_queue *q)
 {
     q->in_flight--;
 }
--- a/admit/admit.h
+++ b/admit/admit.h
@@ -77,7 +77,7 @@
 /* A statement came back after `us` in flight. */
 void ad_done(struct ad_queue *q, int64_t us, int64_t now);
 /* A statement in flight ended without an answer: says nothing of the service time. */
-void ad_dropped(struct ad_queue *q);
+void ad_cancel(struct ad_queue *q);
 /* When to come back, jittered, in ms: never 0. */
 int64_t ad_retry_ms(struct ad_queue *q);
 
--- a/entry/pool.c
+++ b/entry/pool.c
@@ -193,7 +193,7 @@
         in->status_sent = 0;
     }
     if (opened && counted_in_flight)
-        ad_dropped(&in->q);
+        ad_cancel(&in->q);
     update_admission_max(in);
     bool unexpected = !ep->closing;
     free(ep);
@@ -408,7 +408,7 @@
     if (en_ep_send(ep, r, &q))
         return;
     /* Nothing was sent, so the request may run at another instance. */
-    ad_dropped(&in->q);
+    ad_cancel(&in->q);
     r->tried |= 1u << in->at;
     en_later(r, ER_NONE, 0);
 }
@@ -434,7 +434,7 @@
     while (in->q.queued > 0 && (ep = idle_connection(in)) && (it = ad_next(&in->q, now))) {
         struct en_req *r = (struct en_req *)it;
         if (!valid_in_current_view(in, r)) {
-            ad_dropped(&in->q);
+            ad_cancel(&in->q);
             en_later(r, ER_NONE, 0);
             continue;
         }
