--- a/caller/caller.c
+++ b/caller/caller.c
@@ -204,7 +204,7 @@
     sr_buf_add(out, "}", 1);
 }
 
-uint64_t cl_untag(const char *text, size_t *len)
+uint64_t cl_strip_tag(const char *text, size_t *len)
 {
     size_t n = *len, digits = 0;
     if (n == 0 || text[n - 1] != '}')
--- a/entry/entry.h
+++ b/entry/entry.h
@@ -297,7 +297,7 @@
 /* The request is answered otherwise: its answer from the holder goes nowhere. */
 void en_up_forget(struct en_req *r);
 void en_ups_caller_gone(struct en_caller *c);
-/* Pass a holder's answer on as it is; `text` lacks its closing brace (cl_untag). */
+/* Pass a holder's answer on as it is; `text` lacks its closing brace (cl_strip_tag). */
 void en_relay(struct en_req *r, const char *text, size_t len, enum er_kind kind);
 
 /* txn.c */
--- a/entry/forward.c
+++ b/entry/forward.c
@@ -132,7 +132,7 @@
     struct en_up *up = ud;
     json_t *a = json_loadb(data, len, 0, NULL);
     size_t rest = len;
-    uint64_t tag = cl_untag(data, &rest);
+    uint64_t tag = cl_strip_tag(data, &rest);
     if (json_object_get(a, "notice"))
         up->draining = true;
     struct en_req *r = a && tag ? remove_by_tag(&up->sent, tag) : NULL;
--- a/tests/unit/test_text.c
+++ b/tests/unit/test_text.c
@@ -328,13 +328,13 @@
                 {"17}", 0, NULL}};
     for (size_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++) {
         size_t len = strlen(rows[i].text);
-        CU_ASSERT_EQUAL(cl_untag(rows[i].text, &len), rows[i].tag);
+        CU_ASSERT_EQUAL(cl_strip_tag(rows[i].text, &len), rows[i].tag);
         CU_ASSERT_EQUAL(len, strlen(rows[i].rest ? rows[i].rest : rows[i].text));
     }
     struct cl_answer a = {.value = SR_LIT("x=1"), .durable = true, .tag = UINT64_MAX / 2};
     struct sr_buf b = {0};
     cl_write(&b, "id", &a);
-    CU_ASSERT_EQUAL(cl_untag(b.p, &b.len), UINT64_MAX / 2);
+    CU_ASSERT_EQUAL(cl_strip_tag(b.p, &b.len), UINT64_MAX / 2);
     sr_buf_free(&b);
 }
 
