--- a/bench/decisions.c
+++ b/bench/decisions.c
@@ -168,7 +168,7 @@
         .value = SR_LIT("k=1"), .token = "token", .served_by = "i", .durable = true};
     for (int i = 0; i < n; i++) {
         b.len = 0;
-        cl_write(&b, "r1.22", &a);
+        cl_write_answer(&b, "r1.22", &a);
         keep += b.len;
     }
     sr_buf_free(&b);
--- a/caller/caller.c
+++ b/caller/caller.c
@@ -184,7 +184,7 @@
         sr_buf_printf(out, ",\"durable\":false");
 }
 
-void cl_write(struct sr_buf *out, const char *id, const struct cl_answer *a)
+void cl_write_answer(struct sr_buf *out, const char *id, const struct cl_answer *a)
 {
     enum er_answer ans = er_answer(a->kind);
     sr_buf_printf(out, "{\"status\":\"%s\"", er_answer_name(ans));
--- a/caller/caller.h
+++ b/caller/caller.h
@@ -59,7 +59,7 @@
 /* The request as text again, marked as forwarded, with the deadline that is left. */
 void cl_write_request(struct sr_buf *out, const struct cl_request *r, int64_t deadline_ms);
 /* Append the answer's text. A tag stands last, where cl_strip_tag finds it. */
-void cl_write(struct sr_buf *out, const char *id, const struct cl_answer *a);
+void cl_write_answer(struct sr_buf *out, const char *id, const struct cl_answer *a);
 /* The tag of an answer's text, 0 none; *len becomes the length of the text without its tag,
  * less the closing brace. */
 uint64_t cl_strip_tag(const char *text, size_t *len);
--- a/entry/request.c
+++ b/entry/request.c
@@ -108,7 +108,7 @@
     struct sr_buf b = {0};
     struct cl_answer tagged = *a;
     tagged.tag = r->r.tag;
-    cl_write(&b, r->r.id, &tagged);
+    cl_write_answer(&b, r->r.id, &tagged);
     finish(r, &b, a->kind);
     sr_buf_free(&b);
 }
--- a/tests/unit/test_text.c
+++ b/tests/unit/test_text.c
@@ -300,7 +300,7 @@
                               .token = "t",
                               .detail = "why \"not\"",
                               .durable = true};
-        cl_write(&b, "id\"", &a);
+        cl_write_answer(&b, "id\"", &a);
         json_t *j = json_loadb(b.p, b.len, 0, NULL);
         CU_ASSERT_PTR_NOT_NULL_FATAL(j);
         CU_ASSERT_STRING_EQUAL(json_string_value(json_object_get(j, "id")), "id\"");
@@ -333,7 +333,7 @@
     }
     struct cl_answer a = {.value = SR_LIT("x=1"), .durable = true, .tag = UINT64_MAX / 2};
     struct sr_buf b = {0};
-    cl_write(&b, "id", &a);
+    cl_write_answer(&b, "id", &a);
     CU_ASSERT_EQUAL(cl_strip_tag(b.p, &b.len), UINT64_MAX / 2);
     sr_buf_free(&b);
 }
