--- a/bench/decisions.c
+++ b/bench/decisions.c
@@ -39,7 +39,7 @@
 static void token(int n)
 {
     struct ss_key k;
-    char text[SS_TOKEN_TEXT];
+    char text[SS_TOKEN_TEXT_BYTES];
     struct ps_pos p;
     ss_key_from(&k, SR_LIT("secret"));
     for (int i = 0; i < n; i++) {
--- a/entry/request.c
+++ b/entry/request.c
@@ -142,7 +142,7 @@
 {
     struct en_group *g = r->group;
     struct en_node *n = g->node;
-    char token[SS_TOKEN_TEXT] = "";
+    char token[SS_TOKEN_TEXT_BYTES] = "";
     struct ps_pos seen = r->has_token ? ps_max(r->token, r->pos) : r->pos;
     if (seen.pos)
         ss_token_make(&n->key, sr_from(g->cfg.name), seen, token);
--- a/session/token.c
+++ b/session/token.c
@@ -6,7 +6,7 @@
 enum { VERSION = 1, MAC = 16, BODY = 1 + 8 + 8 + 8, RAW = BODY + MAC };
 
 _Static_assert(sodium_base64_ENCODED_LEN(RAW, sodium_base64_VARIANT_URLSAFE_NO_PADDING) ==
-                   SS_TOKEN_TEXT,
+                   SS_TOKEN_TEXT_BYTES,
                "token length");
 
 void ss_key_from(struct ss_key *key, struct sr_str secret)
@@ -42,7 +42,7 @@
     put(raw + 9, pos.term);
     put(raw + 17, pos.pos);
     mac(key, raw, raw + BODY);
-    sodium_bin2base64(out, SS_TOKEN_TEXT, raw, sizeof(raw),
+    sodium_bin2base64(out, SS_TOKEN_TEXT_BYTES, raw, sizeof(raw),
                       sodium_base64_VARIANT_URLSAFE_NO_PADDING);
 }
 
@@ -51,7 +51,7 @@
 {
     unsigned char raw[RAW], want[MAC];
     size_t n = 0;
-    if (text.len != SS_TOKEN_TEXT - 1)
+    if (text.len != SS_TOKEN_TEXT_BYTES - 1)
         return false;
     if (sodium_base642bin(raw, sizeof(raw), text.p, text.len, NULL, &n, NULL,
                           sodium_base64_VARIANT_URLSAFE_NO_PADDING) != 0 ||
--- a/session/token.h
+++ b/session/token.h
@@ -9,7 +9,7 @@
 #include "misc/pos.h"
 #include "misc/str.h"
 
-enum { SS_TOKEN_TEXT = 56, SS_KEY = 32 };
+enum { SS_TOKEN_TEXT_BYTES = 56, SS_KEY = 32 };
 
 struct ss_key {
     unsigned char k[SS_KEY];
@@ -17,7 +17,7 @@
 
 /* The key from the cluster's secret, as it stands in the settings. */
 void ss_key_from(struct ss_key *key, struct sr_str secret);
-/* `out` takes SS_TOKEN_TEXT bytes, closing NUL included. */
+/* `out` takes SS_TOKEN_TEXT_BYTES bytes, closing NUL included. */
 void ss_token_make(const struct ss_key *key, struct sr_str db, struct ps_pos pos, char *out);
 /* False if the token is not ours for this database. */
 bool ss_token_read(const struct ss_key *key, struct sr_str db, struct sr_str text,
--- a/tests/unit/test_misc.c
+++ b/tests/unit/test_misc.c
@@ -161,11 +161,11 @@
 static void token_round_trip(void)
 {
     struct ss_key k;
-    char text[SS_TOKEN_TEXT];
+    char text[SS_TOKEN_TEXT_BYTES];
     struct ps_pos p = {0};
     ss_key_from(&k, SR_LIT("secret"));
     ss_token_make(&k, SR_LIT("dispatch1"), (struct ps_pos){7, 12345678901ull}, text);
-    CU_ASSERT_EQUAL(strlen(text), SS_TOKEN_TEXT - 1);
+    CU_ASSERT_EQUAL(strlen(text), SS_TOKEN_TEXT_BYTES - 1);
     CU_ASSERT_TRUE(ss_token_read(&k, SR_LIT("dispatch1"), sr_from(text), &p));
     CU_ASSERT(p.term == 7 && p.pos == 12345678901ull);
 }
@@ -174,15 +174,15 @@
 static void token_cannot_be_altered(void)
 {
     struct ss_key k, other;
-    char text[SS_TOKEN_TEXT];
+    char text[SS_TOKEN_TEXT_BYTES];
     struct ps_pos p;
     ss_key_from(&k, SR_LIT("secret"));
     ss_key_from(&other, SR_LIT("another"));
     ss_token_make(&k, SR_LIT("db"), (struct ps_pos){1, 2}, text);
     CU_ASSERT_FALSE(ss_token_read(&k, SR_LIT("db2"), sr_from(text), &p));
     CU_ASSERT_FALSE(ss_token_read(&other, SR_LIT("db"), sr_from(text), &p));
-    for (size_t i = 0; i < SS_TOKEN_TEXT - 1; i++) {
-        char bad[SS_TOKEN_TEXT];
+    for (size_t i = 0; i < SS_TOKEN_TEXT_BYTES - 1; i++) {
+        char bad[SS_TOKEN_TEXT_BYTES];
         memcpy(bad, text, sizeof(bad));
         bad[i] = bad[i] == 'A' ? 'B' : 'A';
         CU_ASSERT_FALSE(ss_token_read(&k, SR_LIT("db"), sr_from(bad), &p));
