--- a/admit/admit.c
+++ b/admit/admit.c
@@ -2,14 +2,14 @@
 
 #include <string.h>
 
-#define START_SERVICE_US 2000.0
-#define CUT 0.9
-#define WEIGHT 0.1
-#define LEAST_LEFT 0.02
+#define INITIAL_SERVICE_US 2000.0
+#define LIMIT_DECREASE_FACTOR 0.9
+#define SMOOTHING_WEIGHT 0.1
+#define MIN_CAPACITY_LEFT 0.02
 /* A queue as long as the deadline allows serves everything late and refuses late: the expected
  * wait may take a quarter of the time that is left. Measured by `ferry-bench overload`. */
-#define WAIT_MARGIN 4
-#define BASE_CREEP 1.002 /* lets the base rise slowly if the instance became slower */
+#define WAIT_SAFETY_FACTOR 4
+#define BASE_GROWTH_FACTOR 1.002 /* lets the base rise slowly if the instance became slower */
 enum { MAX_RETRY_MS = 5000 };
 
 void ad_init(struct ad_queue *q, const struct ad_config *cfg, uint64_t seed)
@@ -18,12 +18,12 @@
     q->cfg = *cfg;
     q->rng = rn_seed(seed);
     q->limit = 1;
-    q->service_us = START_SERVICE_US;
-    q->gap_us = START_SERVICE_US;
+    q->service_us = INITIAL_SERVICE_US;
+    q->gap_us = INITIAL_SERVICE_US;
     for (int c = 0; c < AD_CLASSES; c++) {
         for (int a = 0; a < AD_ACCOUNTS; a++) {
-            struct ad_fifo *f = &q->lane[c].by[a];
-            f->tail = f->after_first = &f->head;
+            struct ad_fifo *f = &q->lane[c].accounts[a];
+            f->tail = f->priority_tail = &f->head;
         }
     }
 }
@@ -48,7 +48,7 @@
     for (int c = 0; c < (int)cls; c++)
         n += q->lane[c].n;
     const struct ad_lane *l = &q->lane[cls];
-    int mine = l->by[account % AD_ACCOUNTS].n;
+    int mine = l->accounts[account % AD_ACCOUNTS].n;
     int fair = (mine + 1) * (l->active > 0 ? l->active : 1);
     return n + (fair < l->n ? fair : l->n);
 }
@@ -58,8 +58,8 @@
 {
     if (q->in_flight < (int)q->limit && q->queued == 0)
         return 0;
-    double left = 1 - q->above[cls];
-    return (ahead + 1) * q->gap_us / (left > LEAST_LEFT ? left : LEAST_LEFT);
+    double left = 1 - q->higher_share[cls];
+    return (ahead + 1) * q->gap_us / (left > MIN_CAPACITY_LEFT ? left : MIN_CAPACITY_LEFT);
 }
 
 int64_t ad_retry_ms(struct ad_queue *q)
@@ -70,27 +70,27 @@
 }
 
 /* Link the item in at `at`. */
-static void put(struct ad_fifo *f, struct ad_item *it, struct ad_item **at)
+static void link_item(struct ad_fifo *f, struct ad_item *it, struct ad_item **at)
 {
-    bool first = at == f->after_first && it->first;
+    bool first = at == f->priority_tail && it->first;
     bool last = at == f->tail;
     it->next = *at;
     *at = it;
     if (last)
         f->tail = &it->next;
     if (first)
-        f->after_first = &it->next;
+        f->priority_tail = &it->next;
 }
 
 /* Take the item at `at` out. */
-static struct ad_item *take(struct ad_fifo *f, struct ad_item **at)
+static struct ad_item *unlink_item(struct ad_fifo *f, struct ad_item **at)
 {
     struct ad_item *it = *at;
     *at = it->next;
     if (f->tail == &it->next)
         f->tail = at;
-    if (f->after_first == &it->next)
-        f->after_first = at;
+    if (f->priority_tail == &it->next)
+        f->priority_tail = at;
     it->next = NULL;
     return it;
 }
@@ -98,7 +98,8 @@
 bool ad_offer(struct ad_queue *q, struct ad_item *it, int64_t now, int64_t *retry_ms)
 {
     int ahead = ahead_of(q, it->cls, it->account);
-    double done_at = (double)now + WAIT_MARGIN * wait_us(q, it->cls, ahead) + q->service_us;
+    double done_at =
+        (double)now + WAIT_SAFETY_FACTOR * wait_us(q, it->cls, ahead) + q->service_us;
     bool late = !q->cfg.fifo && done_at > (double)it->deadline;
     if (q->queued >= q->cfg.max_queue || late) {
         q->refused++;
@@ -106,9 +107,9 @@
         return false;
     }
     struct ad_lane *l = &q->lane[q->cfg.fifo ? 0 : it->cls];
-    struct ad_fifo *f = &l->by[q->cfg.fifo ? 0 : it->account % AD_ACCOUNTS];
+    struct ad_fifo *f = &l->accounts[q->cfg.fifo ? 0 : it->account % AD_ACCOUNTS];
     it->offered = now;
-    put(f, it, it->first && !q->cfg.fifo ? f->after_first : f->tail);
+    link_item(f, it, it->first && !q->cfg.fifo ? f->priority_tail : f->tail);
     if (f->n++ == 0)
         l->active++;
     l->n++;
@@ -116,9 +117,9 @@
     return true;
 }
 
-static struct ad_item *pop(struct ad_queue *q, struct ad_lane *l, struct ad_fifo *f)
+static struct ad_item *pop_head(struct ad_queue *q, struct ad_lane *l, struct ad_fifo *f)
 {
-    struct ad_item *it = take(f, &f->head);
+    struct ad_item *it = unlink_item(f, &f->head);
     if (--f->n == 0)
         l->active--;
     l->n--;
@@ -129,13 +130,13 @@
 void ad_remove(struct ad_queue *q, struct ad_item *it)
 {
     struct ad_lane *l = &q->lane[q->cfg.fifo ? 0 : it->cls];
-    struct ad_fifo *f = &l->by[q->cfg.fifo ? 0 : it->account % AD_ACCOUNTS];
+    struct ad_fifo *f = &l->accounts[q->cfg.fifo ? 0 : it->account % AD_ACCOUNTS];
     struct ad_item **at = &f->head;
     while (*at && *at != it)
         at = &(*at)->next;
     if (!*at)
         return;
-    take(f, at);
+    unlink_item(f, at);
     if (--f->n == 0)
         l->active--;
     l->n--;
@@ -146,9 +147,9 @@
 static struct ad_item *pop_lane(struct ad_queue *q, struct ad_lane *l)
 {
     for (int k = 0; k < AD_ACCOUNTS; k++) {
-        l->turn = (l->turn + 1) % AD_ACCOUNTS;
-        if (l->by[l->turn].n)
-            return pop(q, l, &l->by[l->turn]);
+        l->last_account = (l->last_account + 1) % AD_ACCOUNTS;
+        if (l->accounts[l->last_account].n)
+            return pop_head(q, l, &l->accounts[l->last_account]);
     }
     return NULL;
 }
@@ -171,7 +172,7 @@
         q->last_done = now; /* a busy time begins: the idle time before it is no pace */
     q->in_flight++;
     for (int c = 0; c < AD_CLASSES; c++)
-        q->above[c] += WEIGHT / 20 * (((int)it->cls < c) - q->above[c]);
+        q->higher_share[c] += SMOOTHING_WEIGHT / 20 * (((int)it->cls < c) - q->higher_share[c]);
     return it;
 }
 
@@ -192,33 +193,33 @@
         struct ad_lane *l = &q->lane[c];
         double end = l->n ? done_from_head(q, c, now) : 0;
         for (int a = 0; l->n && a < AD_ACCOUNTS; a++) {
-            struct ad_fifo *f = &l->by[a];
+            struct ad_fifo *f = &l->accounts[a];
             if (!f->n || end <= (double)f->head->deadline)
                 continue;
             *retry_ms = ad_retry_ms(q);
-            q->given_back++;
-            return pop(q, l, f);
+            q->expired++;
+            return pop_head(q, l, f);
         }
     }
     return NULL;
 }
 
-static void adjust(struct ad_queue *q, double us, int64_t now)
+static void adjust_limit(struct ad_queue *q, double us, int64_t now)
 {
     if (q->base_us == 0 || us < q->base_us)
         q->base_us = us;
     else
-        q->base_us *= BASE_CREEP;
+        q->base_us *= BASE_GROWTH_FACTOR;
     if (q->base_us > q->service_us)
         q->base_us = q->service_us;
     if (q->cfg.fifo)
         return;
     double delay = us - q->base_us;
     if (delay > (double)q->cfg.target_us) {
-        if (now - q->cut_at < (int64_t)q->service_us)
+        if (now - q->lowered_at < (int64_t)q->service_us)
             return; /* one cut a round trip */
-        q->limit *= CUT;
-        q->cut_at = now;
+        q->limit *= LIMIT_DECREASE_FACTOR;
+        q->lowered_at = now;
     } else if (q->in_flight + 1 >= (int)q->limit) {
         q->limit += 1.0 / q->limit;
     }
@@ -232,13 +233,13 @@
 {
     q->in_flight--;
     q->served++;
-    q->service_us += WEIGHT * ((double)us - q->service_us);
+    q->service_us += SMOOTHING_WEIGHT * ((double)us - q->service_us);
     if (q->queued > 0 && q->last_done)
-        q->gap_us += WEIGHT * ((double)(now - q->last_done) - q->gap_us);
+        q->gap_us += SMOOTHING_WEIGHT * ((double)(now - q->last_done) - q->gap_us);
     else
-        q->gap_us += WEIGHT * (q->service_us / q->limit - q->gap_us);
+        q->gap_us += SMOOTHING_WEIGHT * (q->service_us / q->limit - q->gap_us);
     q->last_done = now;
-    adjust(q, (double)us, now);
+    adjust_limit(q, (double)us, now);
 }
 
 void ad_cancel(struct ad_queue *q)
--- a/admit/admit.h
+++ b/admit/admit.h
@@ -28,13 +28,13 @@
 
 struct ad_fifo {
     struct ad_item *head, **tail;
-    struct ad_item **after_first; /* where the next item that goes first is put */
+    struct ad_item **priority_tail; /* where the next item that goes first is put */
     int n;
 };
 
 struct ad_lane {
-    struct ad_fifo by[AD_ACCOUNTS];
-    int turn; /* whose turn it is */
+    struct ad_fifo accounts[AD_ACCOUNTS];
+    int last_account; /* whose turn it is */
     int n, active;
 };
 
@@ -55,10 +55,11 @@
     double service_us; /* smoothed time of one statement, queueing at the instance included */
     double base_us;    /* the shortest seen lately: no queueing */
     double gap_us;     /* smoothed time between two completions while work is queued */
-    double above[AD_CLASSES]; /* smoothed share of what is served that goes before this class */
-    int64_t cut_at;           /* when the limit was last lowered */
+    double higher_share[AD_CLASSES]; /* smoothed share of what is served that goes before this
+                                        class */
+    int64_t lowered_at;              /* when the limit was last lowered */
     int64_t last_done;
-    uint64_t refused, served, given_back;
+    uint64_t refused, served, expired;
 };
 
 void ad_init(struct ad_queue *q, const struct ad_config *cfg, uint64_t seed);
--- a/caller/caller.c
+++ b/caller/caller.c
@@ -13,11 +13,11 @@
     return kind_names[k];
 }
 
-static bool get_text(const json_t *o, const char *key, char *dst, size_t cap, bool must,
-                     struct er_err *err)
+static bool get_string(const json_t *o, const char *key, char *dst, size_t cap, bool required,
+                       struct er_err *err)
 {
     const json_t *v = json_object_get(o, key);
-    if (!v && !must)
+    if (!v && !required)
         return true;
     if (!json_is_string(v))
         return er_set(err, ER_BAD_INPUT, "%s: expected text", key);
@@ -26,7 +26,7 @@
         return er_set(err, ER_BAD_INPUT, "%s: holds a NUL", key);
     if (!sr_copy(dst, cap, s))
         return er_set(err, ER_TOO_LARGE, "%s: %zu bytes, expected under %zu", key, s.len, cap);
-    if (must && s.len == 0)
+    if (required && s.len == 0)
         return er_set(err, ER_BAD_INPUT, "%s: is empty", key);
     return true;
 }
@@ -85,11 +85,11 @@
 static bool parse_fields(const json_t *o, struct cl_request *r, struct er_err *err)
 {
     int64_t priority = 0, tag = 0;
-    if (!get_text(o, "id", r->id, sizeof(r->id), true, err) ||
-        !get_text(o, "account", r->account, sizeof(r->account), true, err) ||
-        !get_text(o, "db", r->db, sizeof(r->db), true, err) || !get_kind(o, &r->kind, err) ||
-        !get_text(o, "token", r->token, sizeof(r->token), false, err) ||
-        !get_text(o, "txn", r->txn, sizeof(r->txn), false, err) ||
+    if (!get_string(o, "id", r->id, sizeof(r->id), true, err) ||
+        !get_string(o, "account", r->account, sizeof(r->account), true, err) ||
+        !get_string(o, "db", r->db, sizeof(r->db), true, err) || !get_kind(o, &r->kind, err) ||
+        !get_string(o, "token", r->token, sizeof(r->token), false, err) ||
+        !get_string(o, "txn", r->txn, sizeof(r->txn), false, err) ||
         !get_flag(o, "repeat_safe", &r->repeat_safe, err) ||
         !get_flag(o, "resend", &r->resend, err) || !get_flag(o, "hop", &r->hop, err) ||
         !get_int(o, "age_ms", 0, INT64_MAX / 2000, &r->age_ms, err) ||
@@ -155,7 +155,7 @@
 
 /* JSON text of a string; statements may return any bytes, so what is not UTF-8 is refused by
  * jansson and shown as empty. */
-static void put_text(struct sr_buf *out, const char *key, struct sr_str s)
+static void put_string(struct sr_buf *out, const char *key, struct sr_str s)
 {
     json_t *v = json_stringn(s.p, s.len);
     char *t = v ? json_dumps(v, JSON_ENCODE_ANY) : NULL;
@@ -170,7 +170,7 @@
 
 static void put_result(struct sr_buf *out, const struct cl_answer *a)
 {
-    put_text(out, "value", a->value);
+    put_string(out, "value", a->value);
     if (a->token && a->token[0])
         sr_buf_printf(out, ",\"token\":\"%s\"", a->token);
     if (a->txn)
@@ -188,13 +188,13 @@
 {
     enum er_answer ans = er_answer(a->kind);
     sr_buf_printf(out, "{\"status\":\"%s\"", er_answer_name(ans));
-    put_text(out, "id", sr_from(id));
+    put_string(out, "id", sr_from(id));
     if (ans == ER_ANS_OK) {
         put_result(out, a);
     } else {
         sr_buf_printf(out, ",\"reason\":\"%s\"", er_name(a->kind));
         if (a->detail)
-            put_text(out, "detail", sr_from(a->detail));
+            put_string(out, "detail", sr_from(a->detail));
     }
     if (ans == ER_ANS_NOT_RUN)
         sr_buf_printf(out, ",\"retry_after_ms\":%lld",
--- a/endpoint/endpoint.h
+++ b/endpoint/endpoint.h
@@ -88,8 +88,8 @@
     const char *name;
     unsigned caps;
     /* Connect and introduce ourselves as `who` ("entry:e0", "control:c1"); open() follows. */
-    struct ep_conn *(*open)(struct nt_loop *l, const struct ep_target *to, const char *who,
-                            const struct ep_events *ev, void *ud);
+    struct ep_conn *(*open)(struct nt_loop *l, const struct ep_target *to,
+                            const char *client_name, const struct ep_events *ev, void *ud);
     /* False if nothing was queued: certainly not run. */
     bool (*send)(struct ep_conn *c, const struct ep_request *r);
     /* close() follows, never from within. */
@@ -107,7 +107,7 @@
 
 /* Untrusted text in; false if it is no reply. Strings point into `*keep`, which the caller
  * releases with json_decref. */
-bool ep_reply_parse(const char *data, size_t len, struct ep_reply *r, void **keep,
+bool ep_reply_parse(const char *data, size_t len, struct ep_reply *r, void **json,
                     struct er_err *err);
 
 #endif
--- a/endpoint/ws.c
+++ b/endpoint/ws.c
@@ -5,17 +5,17 @@
 #include "endpoint/endpoint.h"
 #include "misc/log.h"
 
-enum { GREETING_US = 1000000 };
+enum { GREETING_TIMEOUT_US = 1000000 };
 
-static const struct lg_log elog = {"endpoint"};
+static const struct lg_log endpoint_log = {"endpoint"};
 
 struct ws_conn {
     struct ep_conn base;
     const struct ep_events *ev;
     struct nt_conn *net;
     bool open;
-    struct nt_timer greeting; /* the instance has so long to greet */
-    char who[64];
+    struct nt_timer greeting_timer; /* the instance has so long to greet */
+    char client_name[64];
 };
 
 static const char *const op_names[EP_OP_COUNT] = {"hello",   "read",     "write",    "begin",
@@ -51,13 +51,13 @@
     return false;
 }
 
-bool ep_reply_parse(const char *data, size_t len, struct ep_reply *r, void **keep,
+bool ep_reply_parse(const char *data, size_t len, struct ep_reply *r, void **json,
                     struct er_err *err)
 {
     json_error_t je;
     memset(r, 0, sizeof(*r));
     json_t *o = json_loadb(data, len, 0, &je);
-    *keep = o;
+    *json = o;
     if (!json_is_object(o))
         return er_set(err, ER_BAD_INPUT, "endpoint reply is no JSON object: %s", je.text);
     r->id = (uint64_t)json_integer_value(json_object_get(o, "id"));
@@ -136,7 +136,7 @@
 {
     struct ws_conn *c = ud;
     (void)net;
-    send_json(c, json_pack("{s:s,s:s}", "op", "hello", "from", c->who));
+    send_json(c, json_pack("{s:s,s:s}", "op", "hello", "from", c->client_name));
 }
 
 static void on_message(struct nt_conn *net, void *ud, const char *data, size_t len)
@@ -144,20 +144,20 @@
     struct ws_conn *c = ud;
     struct ep_reply r;
     struct er_err err = {0};
-    void *keep = NULL;
-    if (!ep_reply_parse(data, len, &r, &keep, &err)) {
-        FL_WARN(&elog, "%s: closing the connection", err.text);
+    void *json = NULL;
+    if (!ep_reply_parse(data, len, &r, &json, &err)) {
+        FL_WARN(&endpoint_log, "%s: closing the connection", err.text);
         nt_close(net, true);
     } else if (!c->open) {
         c->open = true;
-        nt_timer_cancel(&c->greeting);
+        nt_timer_cancel(&c->greeting_timer);
         c->ev->open(&c->base, c->base.ud);
     } else if (r.id == 0) {
         c->ev->push(&c->base, c->base.ud, &r);
     } else {
         c->ev->reply(&c->base, c->base.ud, &r);
     }
-    json_decref(keep);
+    json_decref(json);
 }
 
 static void on_close(struct nt_conn *net, void *ud, bool opened, bool refused)
@@ -166,7 +166,7 @@
     (void)net;
     (void)opened;
     c->net = NULL;
-    nt_timer_cancel(&c->greeting);
+    nt_timer_cancel(&c->greeting_timer);
     c->ev->close(&c->base, c->base.ud, c->open, refused);
     free(c);
 }
@@ -174,22 +174,22 @@
 static const struct nt_ops ws_ops = {on_open, on_message, on_close};
 
 /* It accepted and says nothing: without this the connection would stay half open for good. */
-static void no_greeting(void *ud)
+static void on_greeting_timeout(void *ud)
 {
     struct ws_conn *c = ud;
     if (c->net)
         nt_close(c->net, true);
 }
 
-static struct ep_conn *ws_open(struct nt_loop *l, const struct ep_target *to, const char *who,
-                               const struct ep_events *ev, void *ud)
+static struct ep_conn *ws_open(struct nt_loop *l, const struct ep_target *to,
+                               const char *client_name, const struct ep_events *ev, void *ud)
 {
     struct ws_conn *c = sr_alloc(sizeof(*c));
     c->base = (struct ep_conn){&ep_ws, ud};
     c->ev = ev;
-    sr_copy(c->who, sizeof(c->who), sr_from(who));
+    sr_copy(c->client_name, sizeof(c->client_name), sr_from(client_name));
     c->net = nt_connect(l, to->ip, to->port, false, &ws_ops, c);
-    nt_timer_set(l, &c->greeting, GREETING_US, no_greeting, c);
+    nt_timer_set(l, &c->greeting_timer, GREETING_TIMEOUT_US, on_greeting_timeout, c);
     return &c->base;
 }
 
--- a/session/token.h
+++ b/session/token.h
@@ -9,10 +9,10 @@
 #include "misc/pos.h"
 #include "misc/str.h"
 
-enum { SS_TOKEN_TEXT_BYTES = 56, SS_KEY = 32 };
+enum { SS_TOKEN_TEXT_BYTES = 56, SS_KEY_BYTES = 32 };
 
 struct ss_key {
-    unsigned char k[SS_KEY];
+    unsigned char k[SS_KEY_BYTES];
 };
 
 /* The key from the cluster's secret, as it stands in the settings. */
