--- a/admit/admit.h
+++ b/admit/admit.h
@@ -2,7 +2,7 @@
  * limit on statements in flight that follows the measured queueing delay.
  *
  * Nothing waits here that can't make its deadline: it is refused when offered, or given back by
- * ad_hopeless as soon as that is known, with the time after which to come back. Pure; items
+ * ad_pop_late as soon as that is known, with the time after which to come back. Pure; items
  * belong to the caller and are linked in. */
 #ifndef FL_ADMIT_ADMIT_H
 #define FL_ADMIT_ADMIT_H
@@ -28,13 +28,13 @@
 
 struct ad_fifo {
     struct ad_item *head, **tail;
-    struct ad_item **after_first; /* where the next item that goes first is put */
+    struct ad_item **priority_tail; /* where the next item that goes first is put */
     int n;
 };
 
 struct ad_lane {
-    struct ad_fifo by[AD_ACCOUNTS];
-    int turn; /* whose turn it is */
+    struct ad_fifo accounts[AD_ACCOUNTS];
+    int last_account; /* whose turn it is */
     int n, active;
 };
 
@@ -55,10 +55,11 @@
     double service_us; /* smoothed time of one statement, queueing at the instance included */
     double base_us;    /* the shortest seen lately: no queueing */
     double gap_us;     /* smoothed time between two completions while work is queued */
-    double above[AD_CLASSES]; /* smoothed share of what is served that goes before this class */
-    int64_t cut_at;           /* when the limit was last lowered */
+    double higher_share[AD_CLASSES]; /* smoothed share of what is served that goes before this
+                                        class */
+    int64_t lowered_at;              /* when the limit was last lowered */
     int64_t last_done;
-    uint64_t refused, served, given_back;
+    uint64_t refused, served, expired;
 };
 
 void ad_init(struct ad_queue *q, const struct ad_config *cfg, uint64_t seed);
@@ -69,7 +70,7 @@
 /* The next item to run, NULL if none may run now. It counts as in flight. */
 struct ad_item *ad_next(struct ad_queue *q, int64_t now);
 /* An item that is queued and can't make its deadline any more; NULL if none. */
-struct ad_item *ad_hopeless(struct ad_queue *q, int64_t now, int64_t *retry_ms);
+struct ad_item *ad_pop_late(struct ad_queue *q, int64_t now, int64_t *retry_ms);
 /* Take out one item that is queued. */
 void ad_remove(struct ad_queue *q, struct ad_item *it);
 /* Take out everything (the instance left); NULL when empty. */
@@ -77,7 +78,7 @@
 /* A statement came back after `us` in flight. */
 void ad_done(struct ad_queue *q, int64_t us, int64_t now);
 /* A statement in flight ended without an answer: says nothing of the service time. */
-void ad_dropped(struct ad_queue *q);
+void ad_cancel(struct ad_queue *q);
 /* When to come back, jittered, in ms: never 0. */
 int64_t ad_retry_ms(struct ad_queue *q);
 
--- a/bench/decisions.c
+++ b/bench/decisions.c
@@ -39,7 +39,7 @@
 static void token(int n)
 {
     struct ss_key k;
-    char text[SS_TOKEN_TEXT];
+    char text[SS_TOKEN_TEXT_BYTES];
     struct ps_pos p;
     ss_key_from(&k, SR_LIT("secret"));
     for (int i = 0; i < n; i++) {
@@ -168,7 +168,7 @@
         .value = SR_LIT("k=1"), .token = "token", .served_by = "i", .durable = true};
     for (int i = 0; i < n; i++) {
         b.len = 0;
-        cl_write(&b, "r1.22", &a);
+        cl_write_answer(&b, "r1.22", &a);
         keep += b.len;
     }
     sr_buf_free(&b);
--- a/entry/forward.c
+++ b/entry/forward.c
@@ -1,31 +1,33 @@
-/* Forwarding to a holder: a group whose instances this node holds no connections to.
+/* Forwards requests for groups whose instances this node holds no connections to. The requests
+ * go to a holder: an entry node that has connections to the group.
  *
- * The node acts as a caller of the holder. One connection a holder carries the statements of
- * all its own callers, told apart by tags, since callers choose their ids themselves; a
- * transaction has a connection of its own, for its caller and group, so that it ends with its
- * caller. The holder's answers are passed on as they are. A request that was forwarded once is
- * never forwarded again. */
+ * This node acts as a caller of the holder. One shared connection per holder carries the
+ * statements of all callers of this node. A tag identifies each request, because callers choose
+ * their request ids themselves and these may collide. Transactions use a separate connection
+ * per caller and group, so that they end when the caller disconnects. The holder's answers are
+ * passed on unchanged. A request that was forwarded once is never forwarded again. */
 #include <stdlib.h>
 
 #include "entry/entry.h"
 #include "misc/clock.h"
 
+/* A connection to a holder (upstream). */
 struct en_upstream {
-    struct en_upstream *next; /* the node's */
+    struct en_upstream *next; /* in the node's list */
     struct en_node *node;
-    bool shared;              /* by all callers; else a caller's for transactions of a group */
-    struct en_caller *caller; /* NULL: gone, or shared */
-    struct en_group *group;   /* not of a shared one */
+    bool shared; /* by all callers; otherwise for one caller's transactions of a group */
+    struct en_caller *caller; /* NULL: shared, or the caller has disconnected */
+    struct en_group *group;   /* NULL: shared */
     struct nt_conn *net;
     char holder[32];
-    bool open, leaving;
+    bool open, draining;          /* draining: no new requests; closes after the last answer */
     int txns;                     /* transactions open at the holder */
-    struct en_req *sent, *unsent; /* by chain */
+    struct en_req *sent, *unsent; /* linked by `chain` */
 };
 
 /* ---- lists ---- */
 
-static void add(struct en_req **list, struct en_req *r)
+static void append_request(struct en_req **list, struct en_req *r)
 {
     while (*list)
         list = &(*list)->next_waiting;
@@ -33,7 +35,7 @@
     *list = r;
 }
 
-static struct en_req *take(struct en_req **list, uint64_t tag)
+static struct en_req *remove_by_tag(struct en_req **list, uint64_t tag)
 {
     while (*list && (*list)->upstream_tag != tag)
         list = &(*list)->next_waiting;
@@ -59,7 +61,7 @@
 
 /* ---- sending ---- */
 
-static void send_one(struct en_upstream *up, struct en_req *r)
+static void send_request(struct en_upstream *up, struct en_req *r)
 {
     struct sr_buf b = {0};
     struct cl_request q = r->req;
@@ -69,10 +71,10 @@
     up->node->c.forwarded++;
     bool sent = nt_send(up->net, b.p, b.len);
     sr_buf_free(&b);
-    add(sent ? &up->sent : &up->unsent, r);
+    append_request(sent ? &up->sent : &up->unsent, r);
 }
 
-static void count_txn(struct en_upstream *up, const struct en_req *r, enum er_kind kind)
+static void update_txn_count(struct en_upstream *up, const struct en_req *r, enum er_kind kind)
 {
     if (r->req.kind == CL_BEGIN && kind == ER_NONE)
         up->txns++;
@@ -89,11 +91,11 @@
     while (up->unsent) {
         struct en_req *r = up->unsent;
         up->unsent = r->next_waiting;
-        send_one(up, r);
+        send_request(up, r);
     }
 }
 
-static enum er_kind kind_of(const json_t *a)
+static enum er_kind error_kind_of(const json_t *a)
 {
     const char *reason = json_string_value(json_object_get(a, "reason"));
     for (int k = 1; reason && k < ER_COUNT; k++) {
@@ -103,19 +105,21 @@
     return ER_NONE;
 }
 
-/* The holder stops, or does not hold the group: certainly not run, so another may. */
-static bool elsewhere(const struct en_req *r, enum er_kind kind)
+/* Whether another holder may run the request: this one stops or does not hold the group, and
+ * has certainly not run the request. */
+static bool may_try_another_holder(const struct en_req *r, enum er_kind kind)
 {
     return !r->req.txn[0] && (kind == ER_STOPPING || kind == ER_ENDPOINT);
 }
 
-static void answered(struct en_upstream *up, struct en_req *r, const char *data, size_t len,
-                     enum er_kind kind)
+static void handle_answer(struct en_upstream *up, struct en_req *r, const char *data, size_t len,
+                          enum er_kind kind)
 {
-    count_txn(up, r, kind);
-    if (elsewhere(r, kind)) {
-        /* A holder that gave up one group goes on with what it holds of others. */
-        up->leaving = up->leaving || !up->shared || kind == ER_STOPPING;
+    update_txn_count(up, r, kind);
+    if (may_try_another_holder(r, kind)) {
+        /* A holder that released one group still serves its other groups, so a shared
+         * connection stays in use unless the holder stops. */
+        up->draining = up->draining || !up->shared || kind == ER_STOPPING;
         r->forwards++;
         en_defer(r, ER_NONE, 0);
         return;
@@ -128,24 +132,24 @@
     struct en_upstream *up = ud;
     json_t *a = json_loadb(data, len, 0, NULL);
     size_t rest = len;
-    uint64_t tag = cl_untag(data, &rest);
+    uint64_t tag = cl_strip_tag(data, &rest);
     if (json_object_get(a, "notice"))
-        up->leaving = true;
-    struct en_req *r = a && tag ? take(&up->sent, tag) : NULL;
+        up->draining = true;
+    struct en_req *r = a && tag ? remove_by_tag(&up->sent, tag) : NULL;
     if (r) {
         r->upstream = NULL;
         r->next_waiting = NULL;
-        answered(up, r, data, rest, kind_of(a));
+        handle_answer(up, r, data, rest, error_kind_of(a));
     } else if (tag) {
-        up->node->c.late_replies++; /* its request was given up */
+        up->node->c.late_replies++; /* the request was abandoned */
     }
     json_decref(a);
-    if (up->leaving && !up->sent && !up->unsent && !up->txns)
+    if (up->draining && !up->sent && !up->unsent && !up->txns)
         nt_close(net, false);
 }
 
-/* What was sent may have run; what was not goes elsewhere. */
-static void fail_all(struct en_upstream *up)
+/* Requests that were not sent are routed again; requests that were sent may have run. */
+static void fail_requests(struct en_upstream *up)
 {
     struct en_req *r;
     while ((r = up->unsent)) {
@@ -155,15 +159,15 @@
         en_defer(r, ER_NONE, 0);
     }
     while ((r = up->sent)) {
-        FL_VERBOSE(&up->node->log, "holder %s closed while it owed an answer to %s %s%s",
+        FL_VERBOSE(&up->node->log, "holder %s closed the connection before it answered %s %s%s",
                    up->holder, cl_kind_name(r->req.kind), r->req.id,
-                   up->leaving ? ", leaving" : "");
+                   up->draining ? ", draining" : "");
         up->sent = r->next_waiting;
         r->upstream = NULL;
         r->next_waiting = NULL;
         r->forwards++;
         if (r->req.txn[0] && r->req.kind != CL_COMMIT)
-            en_fail(r, ER_BAD_TXN, 0, "the transaction was lost with its entry node");
+            en_fail(r, ER_BAD_TXN, 0, "the transaction was lost: its holder disconnected");
         else
             en_connection_lost(r);
     }
@@ -179,23 +183,23 @@
         at = &(*at)->next;
     *at = up->next;
     up->net = NULL;
-    fail_all(up);
+    fail_requests(up);
     free(up);
 }
 
 static const struct nt_ops up_ops = {on_open, on_message, on_close};
 
-/* ---- choosing ---- */
+/* ---- choosing a holder ---- */
 
-/* The holder for this try: those of our own failure domain first. */
-static const struct ho_node *choose(const struct en_node *n, const struct en_group *g,
-                                    int attempt)
+/* The holder for this attempt. Holders in this node's failure domain come first. */
+static const struct ho_node *choose_holder(const struct en_node *n, const struct en_group *g,
+                                           int attempt)
 {
     int order[HO_MAX_HOLDERS], k = 0;
-    for (int near = 1; near >= 0; near--) {
+    for (int same_domain = 1; same_domain >= 0; same_domain--) {
         for (int i = 0; i < g->n_holders; i++) {
             const struct ho_node *x = &n->nodes[g->holders[i]];
-            if ((strcmp(x->domain, n->s->domain) == 0) == near &&
+            if ((strcmp(x->domain, n->s->domain) == 0) == same_domain &&
                 strcmp(x->name, n->s->name) != 0)
                 order[k++] = g->holders[i];
         }
@@ -203,9 +207,9 @@
     return k ? &n->nodes[order[attempt % k]] : NULL;
 }
 
-/* Shared ones first: they are looked for at every statement, past none of the thousands that
- * callers' transactions may have. */
-static void link_up(struct en_node *n, struct en_upstream *up)
+/* Shared connections come first in the list: each statement searches for one, and callers'
+ * transactions may have thousands of connections. */
+static void insert_upstream(struct en_node *n, struct en_upstream *up)
 {
     struct en_upstream **at = &n->upstreams;
     while (!up->shared && *at)
@@ -214,26 +218,26 @@
     *at = up;
 }
 
-static struct en_upstream *up_for(struct en_req *r)
+static struct en_upstream *upstream_for(struct en_req *r)
 {
     struct en_node *n = r->caller->node;
-    bool pinned = r->req.txn[0] != 0, own = pinned || r->req.kind == CL_BEGIN;
-    const struct ho_node *h = choose(n, r->group, r->forwards);
+    bool pinned = r->req.txn[0] != 0, needs_own = pinned || r->req.kind == CL_BEGIN;
+    const struct ho_node *h = choose_holder(n, r->group, r->forwards);
     for (struct en_upstream *up = n->upstreams; up; up = up->next) {
-        bool mine = own && up->caller == r->caller && up->group == r->group;
-        bool common = !own && up->shared && h && strcmp(up->holder, h->name) == 0;
-        if ((mine || common) && (!up->leaving || pinned))
+        bool own_match = needs_own && up->caller == r->caller && up->group == r->group;
+        bool shared_match = !needs_own && up->shared && h && strcmp(up->holder, h->name) == 0;
+        if ((own_match || shared_match) && (!up->draining || pinned))
             return up;
     }
     if (!h)
         return NULL;
     struct en_upstream *up = sr_alloc(sizeof(*up));
     up->node = n;
-    up->shared = !own;
-    up->caller = own ? r->caller : NULL;
-    up->group = own ? r->group : NULL;
+    up->shared = !needs_own;
+    up->caller = needs_own ? r->caller : NULL;
+    up->group = needs_own ? r->group : NULL;
     sr_copy(up->holder, sizeof(up->holder), sr_from(h->name));
-    link_up(n, up);
+    insert_upstream(n, up);
     up->net = nt_connect(n->loop, h->ip, h->port, false, &up_ops, up);
     return up;
 }
@@ -245,7 +249,7 @@
         en_fail(r, ER_ENDPOINT, 50, "this node holds no connections to the group");
         return;
     }
-    struct en_upstream *up = up_for(r);
+    struct en_upstream *up = upstream_for(r);
     if (!up) {
         en_fail(r, ER_ENDPOINT, 200, "no holder of the group is known");
         return;
@@ -253,9 +257,9 @@
     r->state = EN_FORWARDED;
     r->upstream = up;
     if (up->open)
-        send_one(up, r);
+        send_request(up, r);
     else
-        add(&up->unsent, r);
+        append_request(&up->unsent, r);
 }
 
 void en_upstreams_caller_closed(struct en_caller *c)
@@ -263,7 +267,7 @@
     for (struct en_upstream *up = c->node->upstreams; up; up = up->next) {
         if (up->caller != c)
             continue;
-        up->caller = NULL; /* its address may be used again */
+        up->caller = NULL; /* another caller may get the same address */
         nt_close(up->net, true);
     }
 }
--- a/entry/ops.c
+++ b/entry/ops.c
@@ -1,17 +1,19 @@
-/* What the balancer and operators ask of an entry node. Reading changes nothing. */
+/* HTTP interface of an entry node for load balancers and operators: health, readiness, metrics,
+ * status, timeline and the placement of client accounts. All requests are read-only. */
 #include <stdlib.h>
 
 #include "entry/entry.h"
 #include "misc/clock.h"
 
-/* A node whose lease was lost a moment ago still serves what needs none, and an election that
- * all nodes notice must not take all of them out of the balancer at once. */
-enum { READY_WITHOUT_US = 300000 };
+/* How long a node stays ready after it lost its lease. It still serves requests that need no
+ * lease, and an election interrupts the leases of all nodes, which must not remove all of them
+ * from the load balancer at once. */
+enum { READY_WITHOUT_LEASE_US = 300000 };
 
-static void reply_json(const struct nt_http *req, int status, json_t *o)
+static void reply_json(const struct nt_http *req, int status_json, json_t *o)
 {
     char *s = json_dumps(o, JSON_COMPACT);
-    nt_http_reply(req->conn, status, "application/json", s, strlen(s));
+    nt_http_reply(req->conn, status_json, "application/json", s, strlen(s));
     free(s);
     json_decref(o);
 }
@@ -23,8 +25,8 @@
     if (n->view.generation == 0)
         return "no view yet";
     if (n->px && !px_configured(n->px))
-        return "no document yet";
-    if (!en_leased(n) && nt_heard_until(n->loop) - n->lease_lost_at > READY_WITHOUT_US)
+        return "no configuration document yet";
+    if (!en_leased(n) && nt_heard_until(n->loop) - n->lease_lost_at > READY_WITHOUT_LEASE_US)
         return "no lease";
     return NULL;
 }
@@ -93,7 +95,7 @@
                   (long long)s->longest_stall_us);
 }
 
-static void metrics(const struct nt_http *req, struct en_node *n)
+static void reply_metrics(const struct nt_http *req, struct en_node *n)
 {
     struct sr_buf b = {0};
     put_counters(&b, &n->c);
@@ -128,22 +130,22 @@
     sr_buf_free(&b);
 }
 
-/* For how many groups an account's sessions meet at which node. */
-static json_t *places_by_node(struct en_node *n, const char *account)
+/* For each node, the number of groups whose sessions of the account are placed there. */
+static json_t *placement_by_node(struct en_node *n, const char *account)
 {
     json_t *o = json_object();
     for (int g = 0; g < n->view.n; g++) {
         const char *nodes[HO_MAX_HOLDERS];
         int k = px_account_nodes(n->px, n->view.groups[g].name, account, nodes);
         for (int i = 0; i < k; i++) {
-            json_int_t had = json_integer_value(json_object_get(o, nodes[i]));
-            json_object_set_new(o, nodes[i], json_integer(had + 1));
+            json_int_t previous = json_integer_value(json_object_get(o, nodes[i]));
+            json_object_set_new(o, nodes[i], json_integer(previous + 1));
         }
     }
     return o;
 }
 
-static json_t *places_by_group(struct en_node *n, const char *account)
+static json_t *placement_by_group(struct en_node *n, const char *account)
 {
     json_t *o = json_object();
     for (int g = 0; g < n->view.n; g++) {
@@ -157,23 +159,23 @@
     return o;
 }
 
-/* Where client accounts are placed: of those that this node serves most, how many groups at
- * which node; of one that is named, group by group. */
-static json_t *places(struct en_node *n, const char *account)
+/* Placement of client accounts. With an account: its nodes for each group. Without: for the
+ * accounts that use this node most, the number of groups per node. */
+static json_t *placement_json(struct en_node *n, const char *account)
 {
     const char *names[PX_ACCOUNTS_LISTED];
     if (!n->px)
         return json_object();
     if (account[0])
-        return places_by_group(n, account);
+        return placement_by_group(n, account);
     json_t *o = json_object();
     int k = px_accounts_by_use(n->px, names);
     for (int i = 0; i < k; i++)
-        json_object_set_new(o, names[i], places_by_node(n, names[i]));
+        json_object_set_new(o, names[i], placement_by_node(n, names[i]));
     return o;
 }
 
-static json_t *status(struct en_node *n)
+static json_t *status_json(struct en_node *n)
 {
     const char *why = en_not_ready(n);
     json_t *groups = json_array();
@@ -203,13 +205,13 @@
         reply_json(req, why ? 503 : 200,
                    json_pack("{s:b,s:s}", "ready", why == NULL, "why", why ? why : ""));
     } else if (strcmp(req->path, "/metrics") == 0) {
-        metrics(req, n);
+        reply_metrics(req, n);
     } else if (strcmp(req->path, "/v1/status") == 0) {
-        reply_json(req, 200, status(n));
+        reply_json(req, 200, status_json(n));
     } else if (strcmp(req->path, "/v1/places") == 0) {
-        reply_json(req, 200, places(n, ""));
+        reply_json(req, 200, placement_json(n, ""));
     } else if (strncmp(req->path, "/v1/places/", 11) == 0) {
-        reply_json(req, 200, places(n, req->path + 11));
+        reply_json(req, 200, placement_json(n, req->path + 11));
     } else if (strcmp(req->path, "/v1/timeline") == 0) {
         reply_json(req, 200, tl_json(n->tl, n->s->name));
     } else {
--- a/entry/request.c
+++ b/entry/request.c
@@ -109,7 +109,7 @@
     struct sr_buf b = {0};
     struct cl_answer tagged = *a;
     tagged.tag = r->req.tag;
-    cl_write(&b, r->req.id, &tagged);
+    cl_write_answer(&b, r->req.id, &tagged);
     finish(r, &b, a->kind);
     sr_buf_free(&b);
 }
@@ -143,7 +143,7 @@
 {
     struct en_group *g = r->group;
     struct en_node *n = g->node;
-    char token[SS_TOKEN_TEXT] = "";
+    char token[SS_TOKEN_TEXT_BYTES] = "";
     struct ps_pos seen = r->has_token ? ps_max(r->token, r->pos) : r->pos;
     if (seen.pos)
         ss_token_make(&n->key, sr_from(g->cfg.name), seen, token);
