--- a/proxy/answer.c
+++ b/proxy/answer.c
@@ -193,7 +193,7 @@
 {
     if (s->ended)
         return true;
-    if (!nt_close_resting(s->net))
+    if (!nt_close_if_idle(s->net))
         return false;
     note_end(s, why);
     return true;
--- a/task/http.c
+++ b/task/http.c
@@ -35,7 +35,7 @@
 static bool make_room(struct nt_listener *ln)
 {
     struct nt_conn *c = ln->oldest;
-    while (c && (!c->idle || c->closing || !nt_close_resting(c)))
+    while (c && (!c->idle || c->closing || !nt_close_if_idle(c)))
         c = c->newer;
     if (!c)
         return false;
--- a/task/net.c
+++ b/task/net.c
@@ -152,7 +152,7 @@
     return fd >= 0 && recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
 }
 
-bool nt_close_resting(struct nt_conn *c)
+bool nt_close_if_idle(struct nt_conn *c)
 {
     if (c->dead || c->closing)
         return true;
--- a/task/net.h
+++ b/task/net.h
@@ -145,7 +145,7 @@
 /* Close a connection at rest. False, and it stays open, if its peer has sent something that was
  * not delivered yet, or something is queued for it: that comes first. What the peer sends later
  * met the close on its way. */
-bool nt_close_resting(struct nt_conn *c);
+bool nt_close_if_idle(struct nt_conn *c);
 /* From now on this connection's callbacks go nowhere; it closes by itself. */
 void nt_forget(struct nt_conn *c);
 size_t nt_queued(const struct nt_conn *c);
--- a/tests/unit/test_net.c
+++ b/tests/unit/test_net.c
@@ -237,7 +237,7 @@
 {
     (void)ud;
     char byte;
-    rest.closes = nt_close_resting(c);
+    rest.closes = nt_close_if_idle(c);
     rest.told = recv(rest.fd, &byte, 1, MSG_DONTWAIT);
 }
 
