--- a/control/control.c
+++ b/control/control.c
@@ -155,7 +155,7 @@
     on_disk(n);
     if (n->disk_failed)
         return;
-    qr_tick(n->q, now, nt_heard_until(n->loop));
+    qr_tick(n->q, now, nt_received_until(n->loop));
     if (n->document_pending)
         ct_load_document(n);
     if (!n->leading && ct_quorum_confirmed(n))
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -189,7 +189,7 @@
     if (!g->drain_until)
         return;
     bool idle = en_writes_in_flight(g) == 0 && en_txns_open(g) == 0;
-    if (!idle && nt_heard_until(g->node->loop) < g->drain_until)
+    if (!idle && nt_received_until(g->node->loop) < g->drain_until)
         return;
     g->drain_until = 0;
     tl_add(g->node->tl, TL_TERM_DROPPED, g->cfg.name, g->serve_term, "parked and drained");
@@ -252,7 +252,7 @@
         return px_stopped(n->px, now);
     if (n->n_reqs > 0 || n->txns)
         n->quiet_since = now;
-    return n->n_callers == 0 || nt_heard_until(n->loop) - n->quiet_since > LINGER_US;
+    return n->n_callers == 0 || nt_received_until(n->loop) - n->quiet_since > LINGER_US;
 }
 
 /* A group that is held elsewhere rests once its connections are closed: hundreds of them are
--- a/entry/link.c
+++ b/entry/link.c
@@ -118,7 +118,7 @@
  * of a lease (0.2 s) more. */
 static bool renewal_due(struct en_node *n, int64_t now)
 {
-    int64_t by = n->awaiting ? nt_heard_until(n->loop) : now; /* its answer may have come */
+    int64_t by = n->awaiting ? nt_received_until(n->loop) : now; /* its answer may have come */
     return by >= n->next_renew || (!n->awaiting && n->px && px_has_changes(n->px));
 }
 
@@ -300,7 +300,7 @@
         return WR_REFUSED;
     if (in->watch && now - in->heard <= CHECK_FRESH_US)
         return WR_OK;
-    bool unread = in->watch && nt_heard_until(in->node->loop) - in->heard <= CHECK_FRESH_US;
+    bool unread = in->watch && nt_received_until(in->node->loop) - in->heard <= CHECK_FRESH_US;
     return unread ? WR_UNKNOWN : WR_SILENT;
 }
 
@@ -530,7 +530,7 @@
             l->net = nt_connect(n->loop, l->peer.ip, l->peer.port, true, &link_ops, l);
             nt_meter(l->net, &n->control_traffic);
             rd_dialed(&l->line, now);
-        } else if (l->net && !l->open && rd_hangs(&l->line, nt_heard_until(n->loop))) {
+        } else if (l->net && !l->open && rd_hangs(&l->line, nt_received_until(n->loop))) {
             rd_gave_up(&l->line);
             nt_close(l->net, true);
         }
--- a/entry/ops.c
+++ b/entry/ops.c
@@ -24,7 +24,7 @@
         return "no view yet";
     if (n->px && !px_configured(n->px))
         return "no document yet";
-    if (!en_leased(n) && nt_heard_until(n->loop) - n->lease_lost_at > READY_WITHOUT_US)
+    if (!en_leased(n) && nt_received_until(n->loop) - n->lease_lost_at > READY_WITHOUT_US)
         return "no lease";
     return NULL;
 }
--- a/entry/pool.c
+++ b/entry/pool.c
@@ -34,7 +34,7 @@
 /* It was asked and has not answered in so long, as far as answers were read. */
 static bool unanswered(const struct en_inst *in, int64_t us)
 {
-    return in->status_sent && nt_heard_until(in->node->loop) - in->status_sent >= us;
+    return in->status_sent && nt_received_until(in->node->loop) - in->status_sent >= us;
 }
 
 bool en_usable(const struct en_inst *in)
@@ -300,7 +300,7 @@
 static void close_stuck(struct en_inst *in)
 {
     struct en_ep *w = in->watch;
-    int64_t heard = nt_heard_until(in->node->loop);
+    int64_t heard = nt_received_until(in->node->loop);
     if (w && unanswered(in, STATUS_LOST_US))
         en_ep_close(w);
     for (struct en_ep *e = in->eps; e; e = e->next) {
--- a/entry/request.c
+++ b/entry/request.c
@@ -220,7 +220,7 @@
 void en_sweep(struct en_node *n, int64_t now)
 {
     struct en_req *next;
-    int64_t heard = nt_heard_until(n->loop);
+    int64_t heard = nt_received_until(n->loop);
     for (struct en_req *r = n->reqs; r; r = next) {
         next = r->next;
         if (r->state == EN_LATER)
--- a/entry/txn.c
+++ b/entry/txn.c
@@ -220,7 +220,7 @@
 void en_txn_sweep(struct en_node *n)
 {
     struct en_txn *next;
-    int64_t heard = nt_heard_until(n->loop);
+    int64_t heard = nt_received_until(n->loop);
     for (struct en_txn *t = n->txns; t; t = next) {
         next = t->next;
         if (!t->busy && heard - t->used > CK_MS(n->s->txn_idle_ms))
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -37,7 +37,7 @@
 
 int64_t px_received_until(const struct px_proxy *p)
 {
-    return nt_heard_until(p->loop);
+    return nt_received_until(p->loop);
 }
 
 /* ---- the lease ---- */
--- a/task/loop.c
+++ b/task/loop.c
@@ -93,7 +93,7 @@
     l->heard_until = ck_now();
 }
 
-int64_t nt_heard_until(const struct nt_loop *l)
+int64_t nt_received_until(const struct nt_loop *l)
 {
     return l->heard_until;
 }
--- a/task/net.h
+++ b/task/net.h
@@ -98,7 +98,7 @@
 /* What had come by this time (ck_now) was delivered, or is being delivered now. After a long
  * step it is older than that step, as timers run before sockets are read: whoever judges by a
  * timer that a peer said nothing compares with this, not with the clock. */
-int64_t nt_heard_until(const struct nt_loop *l);
+int64_t nt_received_until(const struct nt_loop *l);
 
 /* Call fn(ud) once after `us` microseconds; sets anew if it is set. */
 void nt_timer_set(struct nt_loop *l, struct nt_timer *t, int64_t us, void (*fn)(void *),
--- a/tests/unit/test_net.c
+++ b/tests/unit/test_net.c
@@ -174,7 +174,7 @@
 static void stall_look(void *ud)
 {
     (void)ud;
-    bool believed = nt_heard_until(stall.loop) > stall.said_at;
+    bool believed = nt_received_until(stall.loop) > stall.said_at;
     CU_ASSERT(stall.heard || !believed);
     stall.looked = true;
     if (stall.heard && believed)
@@ -190,7 +190,7 @@
     nt_send(stall.peer, "x", 1);
     nt_timer_set(stall.loop, &stall.look, 1, stall_look, NULL);
     ck_advance(CK_SEC(1));
-    CU_ASSERT(nt_heard_until(stall.loop) <= stall.said_at);
+    CU_ASSERT(nt_received_until(stall.loop) <= stall.said_at);
 }
 
 /* Guards against verdicts of silence over peers whose words were in the socket: a timer that
