--- a/control/control.h
+++ b/control/control.h
@@ -132,7 +132,7 @@
     struct qr_member member; /* id 0: only the address is known */
     struct nt_conn *net;
     bool open, wanted;
-    struct rd_line redial;
+    struct rd_state redial;
     int64_t active_at; /* when the peer was added or its connection opened last */
 };
 
--- a/entry/entry.h
+++ b/entry/entry.h
@@ -174,7 +174,7 @@
     struct st_peer peer;
     struct nt_conn *net;
     bool open;
-    struct rd_line line;
+    struct rd_state line;
 };
 
 enum { EN_MAX_LINKS = 2 * ST_MAX_PEERS };
--- a/task/redial.c
+++ b/task/redial.c
@@ -1,17 +1,17 @@
 #include "task/redial.h"
 
-bool rd_due(const struct rd_line *l, int64_t now)
+bool rd_due(const struct rd_state *l, int64_t now)
 {
     return now >= l->next_try;
 }
 
-void rd_dialed(struct rd_line *l, int64_t now)
+void rd_dialed(struct rd_state *l, int64_t now)
 {
     l->dialed = now;
     l->heard = false;
 }
 
-bool rd_hangs(const struct rd_line *l, int64_t now)
+bool rd_hangs(const struct rd_state *l, int64_t now)
 {
     int64_t us = RD_FIRST_US;
     for (int i = 0; i < l->unanswered && us < RD_LONGEST_US; i++)
@@ -19,23 +19,23 @@
     return now - l->dialed > us;
 }
 
-void rd_gave_up(struct rd_line *l)
+void rd_gave_up(struct rd_state *l)
 {
     if (l->unanswered < RD_LONGEST_US / RD_FIRST_US)
         l->unanswered++;
 }
 
-void rd_opened(struct rd_line *l)
+void rd_opened(struct rd_state *l)
 {
     l->unanswered = 0;
 }
 
-void rd_closed(struct rd_line *l, int64_t now)
+void rd_closed(struct rd_state *l, int64_t now)
 {
     l->next_try = l->heard ? now : now + RD_RETRY_US;
 }
 
-void rd_heard(struct rd_line *l, int64_t now)
+void rd_heard(struct rd_state *l, int64_t now)
 {
     l->heard = true;
     l->next_try = now;
--- a/task/redial.h
+++ b/task/redial.h
@@ -20,25 +20,25 @@
     RD_LONGEST_US = 1000000, /* it is doubled up to here while none is answered */
 };
 
-struct rd_line {
+struct rd_state {
     int64_t next_try, dialed; /* in the runtime's clock */
     int unanswered;           /* connects since one was answered */
     bool heard;               /* the peer has shown itself since the last connect */
 };
 
 /* Whether a connect, if there is none, is due. */
-bool rd_due(const struct rd_line *l, int64_t now);
+bool rd_due(const struct rd_state *l, int64_t now);
 /* A connect begins. */
-void rd_dialed(struct rd_line *l, int64_t now);
+void rd_dialed(struct rd_state *l, int64_t now);
 /* Whether the connect that is under way is to be given up. */
-bool rd_hangs(const struct rd_line *l, int64_t now);
+bool rd_hangs(const struct rd_state *l, int64_t now);
 /* The peer has connected to us: it is there, and what was sent before it came is lost. */
-void rd_heard(struct rd_line *l, int64_t now);
+void rd_heard(struct rd_state *l, int64_t now);
 /* It was given up. */
-void rd_gave_up(struct rd_line *l);
+void rd_gave_up(struct rd_state *l);
 /* It is open. */
-void rd_opened(struct rd_line *l);
+void rd_opened(struct rd_state *l);
 /* It ended, however it did. */
-void rd_closed(struct rd_line *l, int64_t now);
+void rd_closed(struct rd_state *l, int64_t now);
 
 #endif
--- a/tests/unit/test_net.c
+++ b/tests/unit/test_net.c
@@ -506,7 +506,7 @@
 /* A connect to a VM that had no power is not answered; the VM comes back and connects to us. */
 static void a_peer_that_is_heard_is_dialled_at_once(void)
 {
-    struct rd_line l = {0};
+    struct rd_state l = {0};
     rd_dialed(&l, 0);
     rd_heard(&l, 120000);
     rd_closed(&l, 120000); /* what was under way is given up */
@@ -520,7 +520,7 @@
  * never answers is asked less and less often. */
 static void unanswered_connects_are_made_anew(void)
 {
-    struct rd_line l = {0};
+    struct rd_state l = {0};
     CU_ASSERT(rd_due(&l, 0));
     rd_dialed(&l, 1000);
     CU_ASSERT_FALSE(rd_hangs(&l, 1000 + 250000));
