--- a/task/http.c
+++ b/task/http.c
@@ -23,7 +23,7 @@
     ln->newest = c;
 }
 
-static void touch(struct nt_conn *c, bool idle)
+static void mark_used(struct nt_conn *c, bool idle)
 {
     c->idle = idle;
     unlink_http(c);
@@ -32,7 +32,7 @@
 
 /* Callers that keep their connection come again soon; the one that has rested longest is the
  * least likely to, unless its next request is there already. False: none rests. */
-static bool make_room(struct nt_listener *ln)
+static bool close_longest_idle(struct nt_listener *ln)
 {
     struct nt_conn *c = ln->oldest;
     while (c && (!c->idle || c->closing || !nt_close_if_idle(c)))
@@ -47,7 +47,7 @@
 static struct nt_conn *accept_http(struct nt_listener *ln, struct lws *wsi)
 {
     int most = ln->what.max_http ? ln->what.max_http : NT_MAX_HTTP;
-    if (ln->n_http >= most && !make_room(ln))
+    if (ln->n_http >= most && !close_longest_idle(ln))
         return NULL;
     struct nt_conn *c = np_conn_new(ln->loop, K_HTTP_SERVER, NULL, NULL);
     c->ln = ln;
@@ -60,7 +60,7 @@
     return c;
 }
 
-void np_http_gone(struct nt_conn *c)
+void np_http_conn_closed(struct nt_conn *c)
 {
     c->loop->st.http_closed++;
     c->ln->n_http--;
@@ -138,7 +138,7 @@
     np_pop_out(c);
     if (rc < 0)
         return -1;
-    touch(c, true);
+    mark_used(c, true);
     if (!lws_http_transaction_completed(c->wsi))
         return 0;
     c->loop->st.http_ended_by_us++;
@@ -152,7 +152,7 @@
         c = accept_http(ln, wsi);
     if (!c)
         return -1;
-    touch(c, false);
+    mark_used(c, false);
     ln->loop->st.http_requests++;
     c->replied = false;
     c->body.len = 0;
--- a/task/loop.c
+++ b/task/loop.c
@@ -90,12 +90,12 @@
 static void before_poll(uv_prepare_t *prepare)
 {
     struct nt_loop *l = prepare->data;
-    l->heard_until = ck_now();
+    l->received_until = ck_now();
 }
 
 int64_t nt_received_until(const struct nt_loop *l)
 {
-    return l->heard_until;
+    return l->received_until;
 }
 
 struct nt_loop *nt_loop_create(int max_fds, struct er_err *err)
@@ -108,7 +108,7 @@
     l->before_poll.data = l;
     uv_prepare_start(&l->before_poll, before_poll);
     uv_unref((uv_handle_t *)&l->before_poll);
-    l->heard_until = ck_now();
+    l->received_until = ck_now();
     struct lws_context_creation_info info = {0};
     info.options = LWS_SERVER_OPTION_EXPLICIT_VHOSTS | LWS_SERVER_OPTION_LIBUV;
     info.fd_limit_per_thread = fd_table(max_fds);
--- a/task/net.c
+++ b/task/net.c
@@ -17,12 +17,12 @@
 /* A peer that acknowledges nothing for this long is gone. Above the longest pause that a live
  * one takes (a disk or processor stall under load), below the time in which another node must
  * have taken over. */
-#define PEER_SILENT_MS 2500
+#define ACK_TIMEOUT_MS 2500
 /* Idle connections are probed after, and every, so many seconds; three lost probes close one.
  */
-#define PROBE_AFTER_S 2
-#define PROBE_EVERY_S 1
-#define PROBE_TRIES 3
+#define KEEPALIVE_IDLE_S 2
+#define KEEPALIVE_INTERVAL_S 1
+#define KEEPALIVE_PROBES 3
 
 static const struct lg_log nlog = {"net"};
 
@@ -31,15 +31,17 @@
 void np_watch_peer(struct nt_conn *c)
 {
     int fd = c->wsi ? lws_get_socket_fd(c->wsi) : -1;
-    int on = 1, after = PROBE_AFTER_S, every = PROBE_EVERY_S, tries = PROBE_TRIES;
-    unsigned silent = PEER_SILENT_MS;
+    int on = 1, idle_s = KEEPALIVE_IDLE_S, interval_s = KEEPALIVE_INTERVAL_S,
+        probes = KEEPALIVE_PROBES;
+    unsigned ack_ms = ACK_TIMEOUT_MS;
     if (fd < 0)
         return;
-    bool ok = setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &silent, sizeof(silent)) == 0 &&
-              setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on)) == 0 &&
-              setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &after, sizeof(after)) == 0 &&
-              setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &every, sizeof(every)) == 0 &&
-              setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &tries, sizeof(tries)) == 0;
+    bool ok =
+        setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &ack_ms, sizeof(ack_ms)) == 0 &&
+        setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on)) == 0 &&
+        setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle_s, sizeof(idle_s)) == 0 &&
+        setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s, sizeof(interval_s)) == 0 &&
+        setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof(probes)) == 0;
     if (!ok)
         FL_DBG(&nlog, "a connection can't be probed; its end is noticed by its user");
 }
@@ -58,7 +60,7 @@
 
 static void conn_free(struct nt_conn *c)
 {
-    nt_timer_cancel(&c->late);
+    nt_timer_cancel(&c->connect_failure);
     while (c->head) {
         struct out *o = c->head;
         c->head = o->next;
@@ -76,7 +78,7 @@
     c->dead = true;
     c->loop->st.closed++;
     if (c->kind == K_HTTP_SERVER)
-        np_http_gone(c);
+        np_http_conn_closed(c);
     if (c->kind == K_HTTP_CLIENT) {
         if (c->done)
             c->done(c->ud, c->status, c->body.p ? c->body.p : "", c->body.len);
@@ -214,14 +216,14 @@
     free(o);
 }
 
-static void note_out(struct nt_conn *c, size_t n)
+static void count_out(struct nt_conn *c, size_t n)
 {
     c->loop->st.bytes_out += n;
     if (c->traffic)
         c->traffic->bytes_out += n;
 }
 
-static void note_in(struct nt_conn *c, size_t n)
+static void count_in(struct nt_conn *c, size_t n)
 {
     c->loop->st.bytes_in += n;
     if (c->traffic)
@@ -235,7 +237,7 @@
     size_t n = o->len - o->off < WRITE_BATCH ? o->len - o->off : WRITE_BATCH;
     if (lws_write(c->wsi, o->data + LWS_PRE + o->off, n, LWS_WRITE_RAW) < 0)
         return -1;
-    note_out(c, n);
+    count_out(c, n);
     o->off += n;
     if (o->off == o->len)
         np_pop_out(c);
@@ -260,7 +262,7 @@
         }
         if (lws_write(c->wsi, batch + LWS_PRE, n, LWS_WRITE_RAW) < 0)
             return -1;
-        note_out(c, n);
+        count_out(c, n);
     }
     return 0;
 }
@@ -271,7 +273,7 @@
         struct out *o = c->head;
         if (lws_write(c->wsi, o->data + LWS_PRE, o->len, LWS_WRITE_TEXT) < 0)
             return -1;
-        note_out(c, o->len);
+        count_out(c, o->len);
         np_pop_out(c);
     }
     return 0;
@@ -301,7 +303,7 @@
 }
 
 /* Cut whole frames out of c->in. -1 on a frame over the bound. */
-static int cut_frames(struct nt_conn *c)
+static int parse_frames(struct nt_conn *c)
 {
     size_t off = 0;
     while (c->in.len - off >= FRAME_HEADER) {
@@ -330,18 +332,18 @@
 
 static int on_raw_data(struct nt_conn *c, const void *in, size_t len)
 {
-    note_in(c, len);
+    count_in(c, len);
     if (c->kind == K_STREAM) {
         deliver(c, in, len);
         return c->closing && c->hard ? -1 : 0;
     }
     sr_buf_add(&c->in, in, len);
-    return cut_frames(c);
+    return parse_frames(c);
 }
 
 static int on_ws_data(struct nt_conn *c, const void *in, size_t len)
 {
-    note_in(c, len);
+    count_in(c, len);
     if (c->in.len + len > NT_MAX_MESSAGE) {
         c->loop->st.oversized++;
         return -1;
@@ -400,12 +402,12 @@
 
 static void connect_failed(struct nt_conn *c, const char *why)
 {
-    c->refused = looks_refused(why) && ck_now() - c->began < REFUSED_WITHIN_US;
+    c->refused = looks_refused(why) && ck_now() - c->connect_started < REFUSED_WITHIN_US;
     np_conn_closed(c);
 }
 
 /* nt_wake was called, by whichever thread. */
-static void woken(const struct nt_loop *l)
+static void on_wake(const struct nt_loop *l)
 {
     if (l && l->wake)
         l->wake(l->wake_ud);
@@ -423,7 +425,7 @@
     switch (why) {
     case LWS_CALLBACK_FILTER_NETWORK_CONNECTION:
     case LWS_CALLBACK_FILTER_PROTOCOL_CONNECTION:
-        return ln && ln->refuses ? -1 : 0;
+        return ln && ln->refuse_new ? -1 : 0;
     case LWS_CALLBACK_HTTP:
         return ln ? np_http_start(ln, wsi, in, len) : -1;
     case LWS_CALLBACK_HTTP_BODY:
@@ -463,7 +465,7 @@
             np_conn_closed(c);
         return 0;
     case LWS_CALLBACK_EVENT_WAIT_CANCELLED:
-        woken(lws_context_user(lws_get_context(wsi)));
+        on_wake(lws_context_user(lws_get_context(wsi)));
         return 0;
     default:
         return 0;
@@ -477,7 +479,7 @@
 
 /* ---- connecting ---- */
 
-static void fail_late(void *ud)
+static void report_connect_failure(void *ud)
 {
     np_conn_closed(ud);
 }
@@ -486,7 +488,7 @@
                       const char *path)
 {
     struct lws_client_connect_info i = {0};
-    c->began = ck_now();
+    c->connect_started = ck_now();
     i.context = c->loop->ctx;
     i.vhost = c->loop->client_vh;
     i.address = ip;
@@ -514,7 +516,7 @@
     if (!wsi) {
         c->wsi = NULL;
         c->refused = true;
-        nt_timer_set(c->loop, &c->late, 1, fail_late, c);
+        nt_timer_set(c->loop, &c->connect_failure, 1, report_connect_failure, c);
     }
 }
 
@@ -583,5 +585,5 @@
 
 void nt_refuse_new(struct nt_listener *ln)
 {
-    ln->refuses = true;
+    ln->refuse_new = true;
 }
--- a/task/net_priv.h
+++ b/task/net_priv.h
@@ -33,8 +33,8 @@
     size_t dropped;             /* bytes that came while it was being closed */
     struct nt_traffic *traffic; /* NULL: not metered */
     struct sr_buf in;
-    int64_t began;        /* of connecting */
-    struct nt_timer late; /* delivers a failed connect from the loop */
+    int64_t connect_started;         /* of connecting */
+    struct nt_timer connect_failure; /* delivers a failed connect from the loop */
     /* plain HTTP */
     char path[256], query[512], method[8];
     struct sr_buf body;
@@ -53,8 +53,8 @@
     struct nt_listen what;
     struct lws_vhost *vh;
     char ip[64];
-    bool refuses; /* whoever comes now */
-    int n_http;   /* plain HTTP connections */
+    bool refuse_new; /* whoever comes now */
+    int n_http;      /* plain HTTP connections */
     struct nt_conn *oldest, *newest;
     struct nt_listener *next;
 };
@@ -62,7 +62,7 @@
 struct nt_loop {
     uv_loop_t uv; /* epoll below; lws's own poll() costs more the more sockets are idle */
     uv_prepare_t before_poll;
-    int64_t heard_until;
+    int64_t received_until;
     struct lws_context *ctx;
     struct lws_vhost *client_vh;
     bool stop;
@@ -84,7 +84,7 @@
 void np_start_connect(struct nt_conn *c, const char *ip, int port, const char *method,
                       const char *path);
 /* The connection is gone from its listener's list. */
-void np_http_gone(struct nt_conn *c);
+void np_http_conn_closed(struct nt_conn *c);
 int np_http_writable(struct nt_conn *c);
 int np_http_start(struct nt_listener *ln, struct lws *wsi, const char *uri, size_t len);
 int np_http_body(struct nt_conn *c, const void *in, size_t len);
--- a/task/redial.c
+++ b/task/redial.c
@@ -7,8 +7,8 @@
 
 void rd_dialed(struct rd_state *l, int64_t now)
 {
-    l->dialed = now;
-    l->heard = false;
+    l->connect_started = now;
+    l->peer_connected = false;
 }
 
 bool rd_hangs(const struct rd_state *l, int64_t now)
@@ -16,7 +16,7 @@
     int64_t us = RD_FIRST_US;
     for (int i = 0; i < l->unanswered && us < RD_LONGEST_US; i++)
         us *= 2;
-    return now - l->dialed > us;
+    return now - l->connect_started > us;
 }
 
 void rd_gave_up(struct rd_state *l)
@@ -32,11 +32,11 @@
 
 void rd_closed(struct rd_state *l, int64_t now)
 {
-    l->next_try = l->heard ? now : now + RD_RETRY_US;
+    l->next_try = l->peer_connected ? now : now + RD_RETRY_US;
 }
 
 void rd_heard(struct rd_state *l, int64_t now)
 {
-    l->heard = true;
+    l->peer_connected = true;
     l->next_try = now;
 }
--- a/task/redial.h
+++ b/task/redial.h
@@ -21,9 +21,9 @@
 };
 
 struct rd_state {
-    int64_t next_try, dialed; /* in the runtime's clock */
-    int unanswered;           /* connects since one was answered */
-    bool heard;               /* the peer has shown itself since the last connect */
+    int64_t next_try, connect_started; /* in the runtime's clock */
+    int unanswered;                    /* connects since one was answered */
+    bool peer_connected;               /* the peer has shown itself since the last connect */
 };
 
 /* Whether a connect, if there is none, is due. */
