--- a/task/http.c
+++ b/task/http.c
@@ -1,11 +1,11 @@
-/* Plain HTTP: requests to a listener, and requests of our own. */
+/* Plain HTTP: requests to a listener, and outgoing requests. */
 #include "task/net_priv.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* ---- which connections are kept ---- */
+/* ---- idle connections ---- */
 
 static void unlink_http(struct nt_conn *c)
 {
@@ -30,8 +30,9 @@
     link_newest(c);
 }
 
-/* Callers that keep their connection come again soon; the one that has rested longest is the
- * least likely to, unless its next request is there already. False: none rests. */
+/* Closes the connection that has been idle longest, as its caller is the least likely to send
+ * another request soon. A connection that has already received its next request is skipped.
+ * Returns false if no connection is idle. */
 static bool close_longest_idle(struct nt_listener *ln)
 {
     struct nt_conn *c = ln->oldest;
@@ -184,7 +185,7 @@
 
 /* ---- plain HTTP, client side ---- */
 
-/* The headers of a request of ours, and the announcement of its body if it has one. */
+/* Adds the headers of an outgoing request, with a content-length if the request has a body. */
 static int add_headers(struct nt_conn *c, unsigned char **p, unsigned char *end)
 {
     char n[16];
--- a/task/loop.c
+++ b/task/loop.c
@@ -1,4 +1,4 @@
-/* The loop and its timers: libwebsockets on libuv. */
+/* The event loop and its timers: libwebsockets on libuv. */
 #include "task/net_priv.h"
 
 #include <signal.h>
@@ -10,7 +10,8 @@
 #include "misc/log.h"
 
 #define HEADER_POOL 256
-/* A timer this late is told of: half of what elections and leases allow for a message. */
+/* A timer this late is logged as a stall: half of the message delay that elections and leases
+ * allow. */
 #define STALL_US 100000
 #define MAX_FD_TABLE 131072
 
@@ -22,8 +23,8 @@
     struct nt_timer *t;
 };
 
-/* The loop served nobody since the timer was due: a long step, or the process did not run. All
- * timers of that time are late, and the first of them tells. */
+/* Logs a stall of the loop: a callback took long, or the process was not scheduled. All timers
+ * that were due during the stall are late; only the first of them logs it. */
 static void note_stall(struct nt_loop *l, int64_t due)
 {
     int64_t now = ck_now(), late = now - due;
@@ -77,9 +78,10 @@
     FL_DBG(&nlog, "lws %d: %.*s", level, (int)strcspn(line, "\n"), line);
 }
 
-/* lws has a table of sockets by number, of the size of the process's limit of open files (0),
- * or a shorter one that it searches at every event. Searching is for limits where the table
- * would take memory: 16 bytes an open file. */
+/* Size of the socket table in lws. With 0 the table is indexed by file descriptor and as large
+ * as the process's limit of open files; with another size lws searches the table at every
+ * event. The search is used only if the limit is so high that a full table, at 16 bytes per
+ * open file, would take too much memory. */
 static unsigned fd_table(int max_fds)
 {
     struct rlimit lim;
@@ -137,7 +139,7 @@
 {
     while (!l->stop)
         uv_run(&l->uv, UV_RUN_ONCE);
-    l->stop = false; /* it may be run again */
+    l->stop = false; /* nt_run may be called again */
 }
 
 void nt_stop(struct nt_loop *l)
--- a/task/net.c
+++ b/task/net.c
@@ -14,12 +14,12 @@
 #define FRAME_HEADER 4
 #define WRITE_BATCH 65536
 #define REFUSED_WITHIN_US 1000000
-/* A peer that acknowledges nothing for this long is gone. Above the longest pause that a live
- * one takes (a disk or processor stall under load), below the time in which another node must
- * have taken over. */
+/* A peer that acknowledges no data for this long is considered unreachable. The timeout exceeds
+ * the longest pause of a live peer (a disk or CPU stall under load) and is below the time
+ * within which another node must have taken over. */
 #define ACK_TIMEOUT_MS 2500
-/* Idle connections are probed after, and every, so many seconds; three lost probes close one.
- */
+/* TCP keepalive of idle connections: seconds before the first probe, seconds between probes,
+ * and the number of unanswered probes (3) that closes the connection. */
 #define KEEPALIVE_IDLE_S 2
 #define KEEPALIVE_INTERVAL_S 1
 #define KEEPALIVE_PROBES 3
@@ -43,7 +43,7 @@
         setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s, sizeof(interval_s)) == 0 &&
         setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof(probes)) == 0;
     if (!ok)
-        FL_DBG(&nlog, "a connection can't be probed; its end is noticed by its user");
+        FL_DBG(&nlog, "can't set TCP keepalive options; a lost peer may not be detected");
 }
 
 struct nt_conn *np_conn_new(struct nt_loop *l, enum kind kind, const struct nt_ops *ops,
@@ -92,8 +92,9 @@
 
 static int on_writable(struct nt_conn *c);
 
-/* Write what was just queued without waiting for the loop's next turn, which costs two changes
- * of the poll set and a wake-up a message. Only what the kernel takes whole goes this way. */
+/* Writes a newly queued message without waiting for the next loop iteration, which costs two
+ * changes of the poll set and a wake-up per message. Only data that the kernel accepts whole is
+ * written this way. */
 static void write_now(struct nt_conn *c)
 {
     if (on_writable(c) < 0)
@@ -146,7 +147,7 @@
         lws_set_timeout(c->wsi, PENDING_TIMEOUT_USER_OK, LWS_TO_KILL_ASYNC);
 }
 
-/* Whether bytes have come that nobody read. */
+/* Whether the socket has received bytes that are not read yet. */
 static bool has_unread(const struct nt_conn *c)
 {
     char byte;
@@ -160,7 +161,8 @@
         return true;
     if (has_unread(c) || c->head || (c->wsi && lws_partial_buffered(c->wsi)))
         return false;
-    /* The end goes out before the loop reads again: what is read later was sent too late. */
+    /* The FIN is sent before the loop reads again, so any data read later was sent by a peer
+     * that had not seen the close. */
     if (c->wsi && c->opened)
         shutdown(lws_get_socket_fd(c->wsi), SHUT_WR);
     nt_close(c, false);
@@ -200,7 +202,7 @@
         return;
     if (a.ss_family == AF_INET)
         inet_ntop(AF_INET, &v4->sin_addr, out, (socklen_t)cap);
-    else if (IN6_IS_ADDR_V4MAPPED(&v6->sin6_addr)) /* a listener on every address */
+    else if (IN6_IS_ADDR_V4MAPPED(&v6->sin6_addr)) /* the listener is bound to all addresses */
         inet_ntop(AF_INET, &v6->sin6_addr.s6_addr[12], out, (socklen_t)cap);
     else
         inet_ntop(AF_INET6, &v6->sin6_addr, out, (socklen_t)cap);
@@ -230,7 +232,8 @@
         c->traffic->bytes_in += n;
 }
 
-/* A large frame goes in slices: lws keeps a copy of what the kernel does not take at once. */
+/* Writes a large frame in slices, because lws copies the data that the kernel does not accept
+ * at once. */
 static int write_slice(struct nt_conn *c)
 {
     struct out *o = c->head;
@@ -244,7 +247,7 @@
     return 0;
 }
 
-/* Joins queued frames into one write: a raw peer sees a stream anyway. */
+/* Joins queued frames into one write; a raw TCP peer reads a byte stream in any case. */
 static int write_raw(struct nt_conn *c)
 {
     static unsigned char batch[LWS_PRE + WRITE_BATCH];
@@ -302,7 +305,8 @@
         c->ops->message(c, c->ud, data, len);
 }
 
-/* Cut whole frames out of c->in. -1 on a frame over the bound. */
+/* Delivers the complete frames in c->in. Returns -1 if a frame length is 0 or over
+ * NT_MAX_FRAME, or if the connection was closed hard. */
 static int parse_frames(struct nt_conn *c)
 {
     size_t off = 0;
@@ -378,8 +382,9 @@
     return 0;
 }
 
-/* lws has one text for every connect that fails, and another where the event library sees the
- * reset first; what fails this fast was refused by the other side. */
+/* lws reports every failed connect with the same text, and with another one where the event
+ * library sees the reset first. The caller therefore also checks the time: a connect that fails
+ * within REFUSED_WITHIN_US was refused by the peer. */
 static bool looks_refused(const char *why)
 {
     return why && (strcmp(why, "Unable to connect") == 0 ||
@@ -406,7 +411,7 @@
     np_conn_closed(c);
 }
 
-/* nt_wake was called, by whichever thread. */
+/* Runs on the loop's thread after a thread has called nt_wake. */
 static void on_wake(const struct nt_loop *l)
 {
     if (l && l->wake)
@@ -503,7 +508,7 @@
     i.pwsi = &c->wsi;
     if (method && strcmp(method, "RAW") != 0)
         i.ssl_connection = LCCSCF_HTTP_NO_FOLLOW_REDIRECT;
-    /* lws may report the failure from within this call: hide the callbacks meanwhile. */
+    /* lws may report a failure from within this call, so the callbacks are hidden during it. */
     const struct nt_ops *ops = c->ops;
     void (*done)(void *, int, const char *, size_t) = c->done;
     c->ops = NULL;
@@ -559,8 +564,8 @@
     info.timeout_secs = HANDSHAKE_SEC;
     info.keepalive_timeout = 30;
     info.options = LWS_SERVER_OPTION_FAIL_UPON_UNABLE_TO_BIND;
-    /* lws takes an IPv6 socket for every address where the library has IPv6; not every host
-     * has. */
+    /* A library built with IPv6 opens an IPv6 socket for every address, but not every host
+     * supports IPv6. */
     if (!strchr(ln->ip, ':'))
         info.options |= LWS_SERVER_OPTION_DISABLE_IPV6;
     info.vhost_name = ln->ip;
@@ -575,7 +580,8 @@
     ln->vh = lws_create_vhost(l->ctx, &info);
     if (!ln->vh) {
         free(ln);
-        er_set(err, ER_IO, "can't listen on %s:%d: is the port in use?", what->ip, what->port);
+        er_set(err, ER_IO, "can't listen on %s:%d: the port may be in use", what->ip,
+               what->port);
         return NULL;
     }
     ln->next = l->listeners;
--- a/task/net.h
+++ b/task/net.h
@@ -1,8 +1,9 @@
-/* The loop, its timers and its sockets, on libwebsockets.
+/* The event loop with its timers and sockets, on libwebsockets.
  *
- * One loop per thread. Everything below runs on the loop's thread, but for nt_wake.
- * A connection carries whole messages: WebSocket text messages, or frames of a 4-byte
- * big-endian length over raw TCP. Lengths are checked before anything is allocated. */
+ * There is one loop per thread. All functions except nt_wake must be called on the loop's
+ * thread. A connection carries whole messages: WebSocket text messages, or raw TCP frames with
+ * a 4-byte big-endian length prefix. Lengths are checked before memory is allocated. Times are
+ * in microseconds of ck_now(). */
 #ifndef FL_TASK_NET_H
 #define FL_TASK_NET_H
 
@@ -17,26 +18,27 @@
 struct nt_listener;
 
 enum {
-    NT_MAX_MESSAGE = 1 << 20, /* bytes of a caller's message, and of a body */
-    /* Bytes of a frame between our processes: a snapshot of the whole view, its document
-     * escaped as text, is one. */
+    NT_MAX_MESSAGE = 1 << 20, /* bytes of a WebSocket message or of an HTTP request body */
+    /* Bytes of a frame between ferrylanding processes. The frame must hold a snapshot of the
+     * whole view, including the configuration document escaped as a string. */
     NT_MAX_FRAME = 8 << 20,
-    NT_MAX_QUEUED = 16 << 20, /* bytes that wait for a peer that does not read */
-    NT_MAX_HTTP = 1024,
+    NT_MAX_QUEUED = 16 << 20, /* bytes queued for a peer that does not read */
+    NT_MAX_HTTP = 1024,       /* default limit of plain HTTP connections per listener */
 };
 
-/* What happens on a connection. `ud` is the connection's user pointer. */
+/* Callbacks of a connection. `ud` is the connection's user pointer. */
 struct nt_ops {
     /* The connection is ready to send. */
     void (*open)(struct nt_conn *c, void *ud);
-    /* A whole message; `data` is valid during the call and followed by a NUL. */
+    /* A whole message was received. `data` is valid during the call and followed by a NUL. */
     void (*message)(struct nt_conn *c, void *ud, const char *data, size_t len);
-    /* The last call. `opened` says whether open() was called before; `refused` that the peer
-     * actively refused the connection. The connection is freed after it. */
+    /* The connection ended. This is its last callback; the connection is freed afterwards.
+     * `opened` tells whether open() was called, `refused` whether the peer actively refused the
+     * connection. */
     void (*close)(struct nt_conn *c, void *ud, bool opened, bool refused);
 };
 
-/* A plain HTTP request; the handler answers with nt_http_reply, now or later. */
+/* A plain HTTP request. The handler answers with nt_http_reply, during the call or later. */
 struct nt_http {
     struct nt_conn *conn;
     const char *method; /* "GET" or "POST" */
@@ -44,7 +46,7 @@
     const char *query; /* text after '?', or "" */
     const char *body;
     size_t body_len;
-    void *ud; /* the listener's */
+    void *ud; /* user pointer of the listener */
 };
 
 struct nt_listen {
@@ -52,55 +54,58 @@
     int port;
     bool raw; /* frames over TCP instead of WebSocket and HTTP */
     const struct nt_ops *ops;
-    /* A peer connected: gives the user pointer of its connection, NULL refuses it. */
+    /* Called when a peer connects. Returns the user pointer for the connection, or NULL to
+     * refuse it. */
     void *(*accept)(struct nt_conn *c, void *ud);
     void (*http)(const struct nt_http *req); /* NULL: 404 */
-    /* Plain HTTP connections at once, 0: NT_MAX_HTTP. One beyond takes the place of the one
-     * that has rested longest, and is closed if none rests. */
+    /* Limit of open plain HTTP connections; 0 means NT_MAX_HTTP. At the limit a new connection
+     * displaces the one that has been idle longest, and is closed if none is idle. */
     int max_http;
     void *ud;
-    bool stream; /* bytes over TCP: message() gets what has come, not NUL-ended */
+    bool stream; /* unframed TCP: message() gets the received bytes, not NUL-terminated */
 };
 
-/* Counters of what the sockets refused; for /metrics. */
+/* Traffic and error counters of a loop, for /metrics. */
 struct nt_counters {
     uint64_t accepted, closed, oversized, queue_overrun, bad_frames, bytes_in, bytes_out;
     uint64_t messages_in, messages_out;
-    /* plain HTTP to our listeners: connections, the requests on them, connections that ended
-     * with our answer, and all that ended */
+    /* Plain HTTP on the listeners: accepted connections, requests, connections closed by this
+     * process after its reply, and all closed connections. */
     uint64_t http_accepted, http_requests, http_ended_by_us, http_closed;
-    uint64_t http_displaced; /* ended for a newer one */
-    uint64_t stalls;         /* times the loop served nobody for 100 ms or more */
+    uint64_t http_displaced; /* idle connections closed to make room for a newer one */
+    uint64_t stalls;         /* stalls of the loop of 100 ms or more */
     int64_t longest_stall_us;
 };
 
-/* Bytes of some connections, as their user groups them; without the transport's own. */
+/* Payload bytes of a group of connections, without the transport's overhead. */
 struct nt_traffic {
     uint64_t bytes_in, bytes_out;
 };
 
 struct nt_timer {
     struct nt_timer *next;
-    int64_t due; /* ck_now microseconds; 0 while not set */
+    int64_t due; /* ck_now() time of expiry; 0 while not set */
     void (*fn)(void *ud);
     void *ud;
     void *sul; /* private */
 };
 
 struct nt_loop *nt_loop_create(int max_fds, struct er_err *err);
-/* Serve until nt_stop. */
+/* Run the loop until nt_stop is called. */
 void nt_run(struct nt_loop *l);
 void nt_stop(struct nt_loop *l);
-/* From any thread: makes the loop call `fn(ud)` soon; calls may be merged. */
+/* Make the loop call the function set with nt_on_wake. Can be called from any thread; several
+ * calls may lead to a single callback. */
 void nt_wake(struct nt_loop *l);
 void nt_on_wake(struct nt_loop *l, void (*fn)(void *ud), void *ud);
 const struct nt_counters *nt_stats(const struct nt_loop *l);
-/* What had come by this time (ck_now) was delivered, or is being delivered now. After a long
- * step it is older than that step, as timers run before sockets are read: whoever judges by a
- * timer that a peer said nothing compares with this, not with the clock. */
+/* The ck_now() time up to which received data was delivered or is being delivered now. Timers
+ * run before sockets are read, so after a long loop iteration data may be received but not yet
+ * delivered. A timer that checks a peer for silence must therefore compare with this time
+ * instead of the clock. */
 int64_t nt_received_until(const struct nt_loop *l);
 
-/* Call fn(ud) once after `us` microseconds; sets anew if it is set. */
+/* Call fn(ud) once after `us` microseconds. A timer that is already set is rescheduled. */
 void nt_timer_set(struct nt_loop *l, struct nt_timer *t, int64_t us, void (*fn)(void *),
                   void *ud);
 void nt_timer_cancel(struct nt_timer *t);
@@ -109,58 +114,60 @@
 struct nt_listener *nt_listen(struct nt_loop *l, const struct nt_listen *what,
                               struct er_err *err);
 
-/* From now on a peer that connects is closed before its handshake is answered, so that it can't
- * have sent a message. Open connections go on. */
+/* Close each new connection before its handshake is answered, so that its peer can't have sent
+ * a message. Open connections are not affected. */
 void nt_refuse_new(struct nt_listener *ln);
 
-/* Start connecting. ops->close follows if it fails, never from within this call. */
+/* Start connecting. If the connect fails, ops->close is called, never from within this call. */
 struct nt_conn *nt_connect(struct nt_loop *l, const char *ip, int port, bool raw,
                            const struct nt_ops *ops, void *ud);
-/* The same for a stream of bytes without framing: message() gets what has come, whole or in
- * part, and not NUL-ended; nt_send's bytes go out as they are. */
+/* Like nt_connect, for a byte stream without framing: message() gets the received bytes in
+ * pieces of any size, not NUL-terminated, and nt_send sends its bytes unchanged. */
 struct nt_conn *nt_connect_stream(struct nt_loop *l, const char *ip, int port,
                                   const struct nt_ops *ops, void *ud);
-/* Stop delivering what the peer sends, or go on: bounds what a fast sender can make us hold. */
+/* Stop or resume reading from the peer. Bounds the memory that a fast sender can fill. */
 void nt_pause_reading(struct nt_conn *c, bool pause);
 
-/* A header of a request of our own; the list ends with name NULL. Names are lower case and end
- * with a colon. */
+/* A header of an outgoing request. A list of headers ends with a NULL name. Names are lower
+ * case and end with a colon. */
 struct nt_header {
     const char *name, *value;
 };
-/* One HTTP request with headers; `done` as below. */
+/* Send an HTTP request with headers. `done` is called as for nt_http_get. */
 void nt_http_call(struct nt_loop *l, const char *ip, int port, const char *method,
                   const char *path, const struct nt_header *headers, const char *body,
                   void (*done)(void *ud, int status, const char *body, size_t len), void *ud);
-/* One HTTP request; `done` is called once, with status 0 if no answer came. */
+/* Send an HTTP request. `done` is called once, with status 0 if no response was received. */
 void nt_http_get(struct nt_loop *l, const char *ip, int port, const char *method,
                  const char *path, const char *body,
                  void (*done)(void *ud, int status, const char *body, size_t len), void *ud);
 
-/* Queue a whole message. False, and the connection is closed, if its queue is over bound. */
+/* Queue a whole message. Returns false if the connection is closing. Returns false and closes
+ * the connection if its queue would exceed NT_MAX_QUEUED. */
 bool nt_send(struct nt_conn *c, const void *data, size_t len);
-/* Close once what is queued has been sent (or at once if `hard`). ops->close follows, never
- * from within this call. */
+/* Close the connection after the queued messages are sent, or immediately if `hard`. ops->close
+ * is called afterwards, never from within this call. */
 void nt_close(struct nt_conn *c, bool hard);
-/* Close a connection at rest. False, and it stays open, if its peer has sent something that was
- * not delivered yet, or something is queued for it: that comes first. What the peer sends later
- * met the close on its way. */
+/* Close an idle connection. Returns false and leaves the connection open if it has received
+ * data that is not delivered yet, or if data is queued for its peer. Data that the peer sends
+ * later crosses the close on the network. */
 bool nt_close_if_idle(struct nt_conn *c);
-/* From now on this connection's callbacks go nowhere; it closes by itself. */
+/* Close the connection immediately and call none of its callbacks any more. */
 void nt_forget(struct nt_conn *c);
+/* Bytes queued for the peer. */
 size_t nt_queued(const struct nt_conn *c);
-/* Bytes that came after nt_close and were delivered to nobody. */
+/* Bytes received after nt_close, which were discarded. */
 size_t nt_dropped(const struct nt_conn *c);
-/* From now on the connection's bytes are added to `t`, too, which must outlive it. Not for
- * plain HTTP. */
+/* Also count the connection's bytes in `t`, which must outlive the connection. Does not work
+ * for plain HTTP. */
 void nt_meter(struct nt_conn *c, struct nt_traffic *t);
-/* The address of our side, as text; "" if it can't be told. */
+/* The local IP address of the connection as text; "" if it is unknown. */
 void nt_local_ip(const struct nt_conn *c, char *out, size_t cap);
-/* Tell ops->close if the peer of an HTTP request goes away before the reply. */
+/* Call ops->close if the peer of an HTTP request disconnects before the reply. */
 void nt_http_watch(struct nt_conn *c, const struct nt_ops *ops, void *ud);
 void nt_http_reply(struct nt_conn *c, int status, const char *type, const char *body,
                    size_t len);
-/* Answer that the request is to be sent to `url` instead, method and body kept (307). */
+/* Redirect the request to `url` with the same method and body (status 307). */
 void nt_http_redirect(struct nt_conn *c, const char *url);
 
 #endif
--- a/task/net_priv.h
+++ b/task/net_priv.h
@@ -1,4 +1,5 @@
-/* The socket layer's state, shared by its parts (net, http). task/net.h is the contract. */
+/* Internal state of the socket layer, shared by net.c, http.c and loop.c. The public interface
+ * is task/net.h. */
 #ifndef FL_TASK_NET_PRIV_H
 #define FL_TASK_NET_PRIV_H
 
@@ -13,8 +14,8 @@
 struct out {
     struct out *next;
     size_t len;
-    size_t off;           /* written already */
-    unsigned char data[]; /* LWS_PRE bytes of room, then the message */
+    size_t off;           /* bytes already written */
+    unsigned char data[]; /* LWS_PRE bytes reserved for lws, then the message */
 };
 
 enum kind { K_WS, K_RAW, K_STREAM, K_HTTP_SERVER, K_HTTP_CLIENT };
@@ -22,7 +23,7 @@
 
 struct nt_conn {
     struct nt_loop *loop;
-    struct nt_listener *ln; /* NULL on the connecting side */
+    struct nt_listener *ln; /* NULL for an outgoing connection */
     struct lws *wsi;
     enum kind kind;
     const struct nt_ops *ops;
@@ -41,10 +42,10 @@
     void (*done)(void *, int, const char *, size_t);
     int status;
     bool replied;
-    bool idle; /* answered, and kept for the next request */
-    struct nt_conn *older,
-        *newer;    /* of its listener's, by when they last were asked or answered */
-    int n_headers; /* of a request of ours */
+    bool idle; /* the last request is answered and the connection is kept for the next one */
+    /* list link of the listener's HTTP connections, ordered by last request or reply */
+    struct nt_conn *older, *newer;
+    int n_headers; /* headers of an outgoing request */
     char header_name[NP_MAX_HEADERS][32], header_value[NP_MAX_HEADERS][64];
 };
 
@@ -69,7 +70,7 @@
     void (*wake)(void *);
     void *wake_ud;
     struct nt_counters st;
-    int64_t stalled_until; /* the end of the last stall that was told */
+    int64_t stalled_until; /* ck_now() time at which the last logged stall ended */
     struct nt_listener *listeners;
 };
 
@@ -79,11 +80,11 @@
                             void *ud);
 void np_conn_closed(struct nt_conn *c);
 void np_pop_out(struct nt_conn *c);
-/* The connection is open: bound how long a peer that went silent is believed to be there. */
+/* Enable TCP timeouts on an open connection, so that an unreachable peer is detected. */
 void np_watch_peer(struct nt_conn *c);
 void np_start_connect(struct nt_conn *c, const char *ip, int port, const char *method,
                       const char *path);
-/* The connection is gone from its listener's list. */
+/* Remove a closed connection from its listener's list. */
 void np_http_conn_closed(struct nt_conn *c);
 int np_http_writable(struct nt_conn *c);
 int np_http_start(struct nt_listener *ln, struct lws *wsi, const char *uri, size_t len);
--- a/task/redial.h
+++ b/task/redial.h
@@ -1,9 +1,10 @@
-/* When to try a connection between two of our processes anew. Pure: the time comes in.
+/* Reconnect timing for connections between ferrylanding processes. The functions read no clock;
+ * the caller passes the time (`now`, microseconds of ck_now()).
  *
- * The opening packet to a VM without power is lost, and the kernel sends it again after a
- * second only. Whoever waits for that meets a VM that has just come back a second late; so a
- * connect that is not answered is given up soon and made anew, and only a peer that leaves
- * several unanswered gets longer: it may be far away or slow. */
+ * The SYN packet to a VM that is powered off is lost, and the kernel retransmits it only after
+ * one second, so a VM that has just started would be reached up to a second late. Therefore an
+ * unanswered connect is abandoned early and started again. The timeout grows only for a peer
+ * that leaves several connects unanswered, as that peer may be far away or slow. */
 #ifndef FL_TASK_REDIAL_H
 #define FL_TASK_REDIAL_H
 
@@ -11,34 +12,36 @@
 #include <stdint.h>
 
 enum {
-    /* Between a connection's end and the next try. Origin: small against a lease, and ten a
-     * second cost a listening peer nothing. */
+    /* Delay between the end of a connection and the next connect. The delay is short compared
+     * with a lease, and ten connects per second are a negligible load for a listening peer. */
     RD_RETRY_US = 100000,
-    /* A connect that is not answered by then is given up. Origin: above the longest round trip
-     * between regions (0.1 s) and a stop of 0.1 s by a processor quota. */
+    /* Timeout of the first connect. It exceeds the longest round trip between regions (0.1 s)
+     * plus a pause of 0.1 s caused by a CPU quota. */
     RD_FIRST_US = 250000,
-    RD_LONGEST_US = 1000000, /* it is doubled up to here while none is answered */
+    /* Bound of the timeout, which doubles while connects stay unanswered. */
+    RD_LONGEST_US = 1000000,
 };
 
 struct rd_state {
-    int64_t next_try, connect_started; /* in the runtime's clock */
+    int64_t next_try, connect_started; /* ck_now() times */
     int unanswered;                    /* connects since one was answered */
-    bool peer_connected;               /* the peer has shown itself since the last connect */
+    bool peer_connected; /* the peer has connected to this process since the last connect */
 };
 
-/* Whether a connect, if there is none, is due. */
+/* Whether the next connect is due. Meaningful only while there is no connection. */
 bool rd_due(const struct rd_state *l, int64_t now);
-/* A connect begins. */
+/* Record that a connect was started. */
 void rd_dialed(struct rd_state *l, int64_t now);
-/* Whether the connect that is under way is to be given up. */
+/* Whether the pending connect has exceeded its timeout and must be abandoned. */
 bool rd_hangs(const struct rd_state *l, int64_t now);
-/* The peer has connected to us: it is there, and what was sent before it came is lost. */
+/* Record that the peer has connected to this process: the peer is reachable, and a connect sent
+ * before it started is lost. The next connect is due immediately. */
 void rd_heard(struct rd_state *l, int64_t now);
-/* It was given up. */
+/* Record that the pending connect was abandoned. */
 void rd_gave_up(struct rd_state *l);
-/* It is open. */
+/* Record that the connection is open. */
 void rd_opened(struct rd_state *l);
-/* It ended, however it did. */
+/* Record that the connection or the pending connect ended, for any reason. */
 void rd_closed(struct rd_state *l, int64_t now);
 
 #endif
