--- a/entry/link.c
+++ b/entry/link.c
@@ -124,7 +124,7 @@
 {
     /* The answer to the last renewal may be received but unread. */
     int64_t heard_until =
-        n->renewal_pending ? nt_heard_until(n->loop) : now;
+        n->renewal_pending ? nt_received_until(n->loop) : now;
     return heard_until >= n->next_renew_at || (!n->renewal_pending && n->px && px_has_changes(n->px));
 }
 
@@ -311,7 +311,7 @@
     if (in->status_ep && now - in->last_received <= HEALTH_FRESH_US)
         return WR_OK;
     bool reply_may_be_unread =
-        in->status_ep && nt_heard_until(in->node->loop) - in->last_received <= HEALTH_FRESH_US;
+        in->status_ep && nt_received_until(in->node->loop) - in->last_received <= HEALTH_FRESH_US;
     return reply_may_be_unread ? WR_UNKNOWN : WR_SILENT;
 }
 
@@ -543,7 +543,7 @@
             l->net = nt_connect(n->loop, l->peer.ip, l->peer.port, true, &link_ops, l);
             nt_meter(l->net, &n->control_traffic);
             rd_dialed(&l->line, now);
-        } else if (l->net && !l->open && rd_hangs(&l->line, nt_heard_until(n->loop))) {
+        } else if (l->net && !l->open && rd_hangs(&l->line, nt_received_until(n->loop))) {
             rd_gave_up(&l->line);
             nt_close(l->net, true);
         }
--- a/entry/pool.c
+++ b/entry/pool.c
@@ -37,7 +37,7 @@
  * not yet read don't count as missing. */
 static bool status_overdue(const struct en_inst *in, int64_t us)
 {
-    return in->status_sent_at && nt_heard_until(in->node->loop) - in->status_sent_at >= us;
+    return in->status_sent_at && nt_received_until(in->node->loop) - in->status_sent_at >= us;
 }
 
 bool en_inst_usable(const struct en_inst *in)
@@ -306,7 +306,7 @@
 static void close_unresponsive(struct en_inst *in)
 {
     struct en_ep *w = in->status_ep;
-    int64_t heard = nt_heard_until(in->node->loop);
+    int64_t heard = nt_received_until(in->node->loop);
     if (w && status_overdue(in, WATCH_TIMEOUT_US))
         en_ep_close(w);
     for (struct en_ep *e = in->eps; e; e = e->next) {
--- a/entry/request.c
+++ b/entry/request.c
@@ -224,7 +224,7 @@
 void en_expire_requests(struct en_node *n, int64_t now)
 {
     struct en_req *next;
-    int64_t received_until = nt_heard_until(n->loop);
+    int64_t received_until = nt_received_until(n->loop);
     for (struct en_req *r = n->reqs; r; r = next) {
         next = r->next;
         if (r->state == EN_DEFERRED)
--- a/entry/txn.c
+++ b/entry/txn.c
@@ -222,7 +222,7 @@
 void en_txns_expire(struct en_node *n)
 {
     struct en_txn *next;
-    int64_t received_until = nt_heard_until(n->loop);
+    int64_t received_until = nt_received_until(n->loop);
     for (struct en_txn *t = n->txns; t; t = next) {
         next = t->next;
         if (!t->busy && received_until - t->last_used > CK_MS(n->s->txn_idle_ms))
--- a/task/http.c
+++ b/task/http.c
@@ -1,11 +1,11 @@
-/* Plain HTTP: requests to a listener, and requests of our own. */
+/* Plain HTTP: requests to a listener, and outgoing requests. */
 #include "task/net_priv.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* ---- which connections are kept ---- */
+/* ---- idle connections ---- */
 
 static void unlink_http(struct nt_conn *c)
 {
@@ -23,19 +23,20 @@
     ln->newest = c;
 }
 
-static void touch(struct nt_conn *c, bool idle)
+static void mark_used(struct nt_conn *c, bool idle)
 {
     c->idle = idle;
     unlink_http(c);
     link_newest(c);
 }
 
-/* Callers that keep their connection come again soon; the one that has rested longest is the
- * least likely to, unless its next request is there already. False: none rests. */
-static bool make_room(struct nt_listener *ln)
+/* Closes the connection that has been idle longest, as its caller is the least likely to send
+ * another request soon. A connection that has already received its next request is skipped.
+ * Returns false if no connection is idle. */
+static bool close_longest_idle(struct nt_listener *ln)
 {
     struct nt_conn *c = ln->oldest;
-    while (c && (!c->idle || c->closing || !nt_close_resting(c)))
+    while (c && (!c->idle || c->closing || !nt_close_if_idle(c)))
         c = c->newer;
     if (!c)
         return false;
@@ -47,7 +48,7 @@
 static struct nt_conn *accept_http(struct nt_listener *ln, struct lws *wsi)
 {
     int most = ln->what.max_http ? ln->what.max_http : NT_MAX_HTTP;
-    if (ln->n_http >= most && !make_room(ln))
+    if (ln->n_http >= most && !close_longest_idle(ln))
         return NULL;
     struct nt_conn *c = np_conn_new(ln->loop, K_HTTP_SERVER, NULL, NULL);
     c->ln = ln;
@@ -60,7 +61,7 @@
     return c;
 }
 
-void np_http_gone(struct nt_conn *c)
+void np_http_conn_closed(struct nt_conn *c)
 {
     c->loop->st.http_closed++;
     c->ln->n_http--;
@@ -138,7 +139,7 @@
     np_pop_out(c);
     if (rc < 0)
         return -1;
-    touch(c, true);
+    mark_used(c, true);
     if (!lws_http_transaction_completed(c->wsi))
         return 0;
     c->loop->st.http_ended_by_us++;
@@ -152,7 +153,7 @@
         c = accept_http(ln, wsi);
     if (!c)
         return -1;
-    touch(c, false);
+    mark_used(c, false);
     ln->loop->st.http_requests++;
     c->replied = false;
     c->body.len = 0;
@@ -184,7 +185,7 @@
 
 /* ---- plain HTTP, client side ---- */
 
-/* The headers of a request of ours, and the announcement of its body if it has one. */
+/* Adds the headers of an outgoing request, with a content-length if the request has a body. */
 static int add_headers(struct nt_conn *c, unsigned char **p, unsigned char *end)
 {
     char n[16];
--- a/task/net.c
+++ b/task/net.c
@@ -14,15 +14,15 @@
 #define FRAME_HEADER 4
 #define WRITE_BATCH 65536
 #define REFUSED_WITHIN_US 1000000
-/* A peer that acknowledges nothing for this long is gone. Above the longest pause that a live
- * one takes (a disk or processor stall under load), below the time in which another node must
- * have taken over. */
-#define PEER_SILENT_MS 2500
-/* Idle connections are probed after, and every, so many seconds; three lost probes close one.
- */
-#define PROBE_AFTER_S 2
-#define PROBE_EVERY_S 1
-#define PROBE_TRIES 3
+/* A peer that acknowledges no data for this long is considered unreachable. The timeout exceeds
+ * the longest pause of a live peer (a disk or CPU stall under load) and is below the time
+ * within which another node must have taken over. */
+#define ACK_TIMEOUT_MS 2500
+/* TCP keepalive of idle connections: seconds before the first probe, seconds between probes,
+ * and the number of unanswered probes (3) that closes the connection. */
+#define KEEPALIVE_IDLE_S 2
+#define KEEPALIVE_INTERVAL_S 1
+#define KEEPALIVE_PROBES 3
 
 static const struct lg_log nlog = {"net"};
 
@@ -31,17 +31,19 @@
 void np_watch_peer(struct nt_conn *c)
 {
     int fd = c->wsi ? lws_get_socket_fd(c->wsi) : -1;
-    int on = 1, after = PROBE_AFTER_S, every = PROBE_EVERY_S, tries = PROBE_TRIES;
-    unsigned silent = PEER_SILENT_MS;
+    int on = 1, idle_s = KEEPALIVE_IDLE_S, interval_s = KEEPALIVE_INTERVAL_S,
+        probes = KEEPALIVE_PROBES;
+    unsigned ack_ms = ACK_TIMEOUT_MS;
     if (fd < 0)
         return;
-    bool ok = setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &silent, sizeof(silent)) == 0 &&
-              setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on)) == 0 &&
-              setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &after, sizeof(after)) == 0 &&
-              setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &every, sizeof(every)) == 0 &&
-              setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &tries, sizeof(tries)) == 0;
+    bool ok =
+        setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &ack_ms, sizeof(ack_ms)) == 0 &&
+        setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on)) == 0 &&
+        setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle_s, sizeof(idle_s)) == 0 &&
+        setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s, sizeof(interval_s)) == 0 &&
+        setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof(probes)) == 0;
     if (!ok)
-        FL_DBG(&nlog, "a connection can't be probed; its end is noticed by its user");
+        FL_DBG(&nlog, "can't set TCP keepalive options; a lost peer may not be detected");
 }
 
 struct nt_conn *np_conn_new(struct nt_loop *l, enum kind kind, const struct nt_ops *ops,
@@ -58,7 +60,7 @@
 
 static void conn_free(struct nt_conn *c)
 {
-    nt_timer_cancel(&c->late);
+    nt_timer_cancel(&c->connect_failure);
     while (c->head) {
         struct out *o = c->head;
         c->head = o->next;
@@ -76,7 +78,7 @@
     c->dead = true;
     c->loop->st.closed++;
     if (c->kind == K_HTTP_SERVER)
-        np_http_gone(c);
+        np_http_conn_closed(c);
     if (c->kind == K_HTTP_CLIENT) {
         if (c->done)
             c->done(c->ud, c->status, c->body.p ? c->body.p : "", c->body.len);
@@ -90,8 +92,9 @@
 
 static int on_writable(struct nt_conn *c);
 
-/* Write what was just queued without waiting for the loop's next turn, which costs two changes
- * of the poll set and a wake-up a message. Only what the kernel takes whole goes this way. */
+/* Writes a newly queued message without waiting for the next loop iteration, which costs two
+ * changes of the poll set and a wake-up per message. Only data that the kernel accepts whole is
+ * written this way. */
 static void write_now(struct nt_conn *c)
 {
     if (on_writable(c) < 0)
@@ -144,7 +147,7 @@
         lws_set_timeout(c->wsi, PENDING_TIMEOUT_USER_OK, LWS_TO_KILL_ASYNC);
 }
 
-/* Whether bytes have come that nobody read. */
+/* Whether the socket has received bytes that are not read yet. */
 static bool has_unread(const struct nt_conn *c)
 {
     char byte;
@@ -152,13 +155,14 @@
     return fd >= 0 && recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
 }
 
-bool nt_close_resting(struct nt_conn *c)
+bool nt_close_if_idle(struct nt_conn *c)
 {
     if (c->dead || c->closing)
         return true;
     if (has_unread(c) || c->head || (c->wsi && lws_partial_buffered(c->wsi)))
         return false;
-    /* The end goes out before the loop reads again: what is read later was sent too late. */
+    /* The FIN is sent before the loop reads again, so any data read later was sent by a peer
+     * that had not seen the close. */
     if (c->wsi && c->opened)
         shutdown(lws_get_socket_fd(c->wsi), SHUT_WR);
     nt_close(c, false);
@@ -198,7 +202,7 @@
         return;
     if (a.ss_family == AF_INET)
         inet_ntop(AF_INET, &v4->sin_addr, out, (socklen_t)cap);
-    else if (IN6_IS_ADDR_V4MAPPED(&v6->sin6_addr)) /* a listener on every address */
+    else if (IN6_IS_ADDR_V4MAPPED(&v6->sin6_addr)) /* the listener is bound to all addresses */
         inet_ntop(AF_INET, &v6->sin6_addr.s6_addr[12], out, (socklen_t)cap);
     else
         inet_ntop(AF_INET6, &v6->sin6_addr, out, (socklen_t)cap);
@@ -214,35 +218,36 @@
     free(o);
 }
 
-static void note_out(struct nt_conn *c, size_t n)
+static void count_out(struct nt_conn *c, size_t n)
 {
     c->loop->st.bytes_out += n;
     if (c->traffic)
         c->traffic->bytes_out += n;
 }
 
-static void note_in(struct nt_conn *c, size_t n)
+static void count_in(struct nt_conn *c, size_t n)
 {
     c->loop->st.bytes_in += n;
     if (c->traffic)
         c->traffic->bytes_in += n;
 }
 
-/* A large frame goes in slices: lws keeps a copy of what the kernel does not take at once. */
+/* Writes a large frame in slices, because lws copies the data that the kernel does not accept
+ * at once. */
 static int write_slice(struct nt_conn *c)
 {
     struct out *o = c->head;
     size_t n = o->len - o->off < WRITE_BATCH ? o->len - o->off : WRITE_BATCH;
     if (lws_write(c->wsi, o->data + LWS_PRE + o->off, n, LWS_WRITE_RAW) < 0)
         return -1;
-    note_out(c, n);
+    count_out(c, n);
     o->off += n;
     if (o->off == o->len)
         np_pop_out(c);
     return 0;
 }
 
-/* Joins queued frames into one write: a raw peer sees a stream anyway. */
+/* Joins queued frames into one write; a raw TCP peer reads a byte stream in any case. */
 static int write_raw(struct nt_conn *c)
 {
     static unsigned char batch[LWS_PRE + WRITE_BATCH];
@@ -260,7 +265,7 @@
         }
         if (lws_write(c->wsi, batch + LWS_PRE, n, LWS_WRITE_RAW) < 0)
             return -1;
-        note_out(c, n);
+        count_out(c, n);
     }
     return 0;
 }
@@ -271,7 +276,7 @@
         struct out *o = c->head;
         if (lws_write(c->wsi, o->data + LWS_PRE, o->len, LWS_WRITE_TEXT) < 0)
             return -1;
-        note_out(c, o->len);
+        count_out(c, o->len);
         np_pop_out(c);
     }
     return 0;
@@ -300,8 +305,9 @@
         c->ops->message(c, c->ud, data, len);
 }
 
-/* Cut whole frames out of c->in. -1 on a frame over the bound. */
-static int cut_frames(struct nt_conn *c)
+/* Delivers the complete frames in c->in. Returns -1 if a frame length is 0 or over
+ * NT_MAX_FRAME, or if the connection was closed hard. */
+static int parse_frames(struct nt_conn *c)
 {
     size_t off = 0;
     while (c->in.len - off >= FRAME_HEADER) {
@@ -330,18 +336,18 @@
 
 static int on_raw_data(struct nt_conn *c, const void *in, size_t len)
 {
-    note_in(c, len);
+    count_in(c, len);
     if (c->kind == K_STREAM) {
         deliver(c, in, len);
         return c->closing && c->hard ? -1 : 0;
     }
     sr_buf_add(&c->in, in, len);
-    return cut_frames(c);
+    return parse_frames(c);
 }
 
 static int on_ws_data(struct nt_conn *c, const void *in, size_t len)
 {
-    note_in(c, len);
+    count_in(c, len);
     if (c->in.len + len > NT_MAX_MESSAGE) {
         c->loop->st.oversized++;
         return -1;
@@ -376,8 +382,9 @@
     return 0;
 }
 
-/* lws has one text for every connect that fails, and another where the event library sees the
- * reset first; what fails this fast was refused by the other side. */
+/* lws reports every failed connect with the same text, and with another one where the event
+ * library sees the reset first. The caller therefore also checks the time: a connect that fails
+ * within REFUSED_WITHIN_US was refused by the peer. */
 static bool looks_refused(const char *why)
 {
     return why && (strcmp(why, "Unable to connect") == 0 ||
@@ -400,12 +407,12 @@
 
 static void connect_failed(struct nt_conn *c, const char *why)
 {
-    c->refused = looks_refused(why) && ck_now() - c->began < REFUSED_WITHIN_US;
+    c->refused = looks_refused(why) && ck_now() - c->connect_started < REFUSED_WITHIN_US;
     np_conn_closed(c);
 }
 
-/* nt_wake was called, by whichever thread. */
-static void woken(const struct nt_loop *l)
+/* Runs on the loop's thread after a thread has called nt_wake. */
+static void on_wake(const struct nt_loop *l)
 {
     if (l && l->wake)
         l->wake(l->wake_ud);
@@ -423,7 +430,7 @@
     switch (why) {
     case LWS_CALLBACK_FILTER_NETWORK_CONNECTION:
     case LWS_CALLBACK_FILTER_PROTOCOL_CONNECTION:
-        return ln && ln->refuses ? -1 : 0;
+        return ln && ln->refuse_new ? -1 : 0;
     case LWS_CALLBACK_HTTP:
         return ln ? np_http_start(ln, wsi, in, len) : -1;
     case LWS_CALLBACK_HTTP_BODY:
@@ -463,7 +470,7 @@
             np_conn_closed(c);
         return 0;
     case LWS_CALLBACK_EVENT_WAIT_CANCELLED:
-        woken(lws_context_user(lws_get_context(wsi)));
+        on_wake(lws_context_user(lws_get_context(wsi)));
         return 0;
     default:
         return 0;
@@ -477,7 +484,7 @@
 
 /* ---- connecting ---- */
 
-static void fail_late(void *ud)
+static void report_connect_failure(void *ud)
 {
     np_conn_closed(ud);
 }
@@ -486,7 +493,7 @@
                       const char *path)
 {
     struct lws_client_connect_info i = {0};
-    c->began = ck_now();
+    c->connect_started = ck_now();
     i.context = c->loop->ctx;
     i.vhost = c->loop->client_vh;
     i.address = ip;
@@ -501,7 +508,7 @@
     i.pwsi = &c->wsi;
     if (method && strcmp(method, "RAW") != 0)
         i.ssl_connection = LCCSCF_HTTP_NO_FOLLOW_REDIRECT;
-    /* lws may report the failure from within this call: hide the callbacks meanwhile. */
+    /* lws may report a failure from within this call, so the callbacks are hidden during it. */
     const struct nt_ops *ops = c->ops;
     void (*done)(void *, int, const char *, size_t) = c->done;
     c->ops = NULL;
@@ -514,7 +521,7 @@
     if (!wsi) {
         c->wsi = NULL;
         c->refused = true;
-        nt_timer_set(c->loop, &c->late, 1, fail_late, c);
+        nt_timer_set(c->loop, &c->connect_failure, 1, report_connect_failure, c);
     }
 }
 
@@ -557,8 +564,8 @@
     info.timeout_secs = HANDSHAKE_SEC;
     info.keepalive_timeout = 30;
     info.options = LWS_SERVER_OPTION_FAIL_UPON_UNABLE_TO_BIND;
-    /* lws takes an IPv6 socket for every address where the library has IPv6; not every host
-     * has. */
+    /* A library built with IPv6 opens an IPv6 socket for every address, but not every host
+     * supports IPv6. */
     if (!strchr(ln->ip, ':'))
         info.options |= LWS_SERVER_OPTION_DISABLE_IPV6;
     info.vhost_name = ln->ip;
@@ -573,7 +580,8 @@
     ln->vh = lws_create_vhost(l->ctx, &info);
     if (!ln->vh) {
         free(ln);
-        er_set(err, ER_IO, "can't listen on %s:%d: is the port in use?", what->ip, what->port);
+        er_set(err, ER_IO, "can't listen on %s:%d: the port may be in use", what->ip,
+               what->port);
         return NULL;
     }
     ln->next = l->listeners;
@@ -583,5 +591,5 @@
 
 void nt_refuse_new(struct nt_listener *ln)
 {
-    ln->refuses = true;
+    ln->refuse_new = true;
 }
--- a/task/net_priv.h
+++ b/task/net_priv.h
@@ -1,4 +1,5 @@
-/* The socket layer's state, shared by its parts (net, http). task/net.h is the contract. */
+/* Internal state of the socket layer, shared by net.c, http.c and loop.c. The public interface
+ * is task/net.h. */
 #ifndef FL_TASK_NET_PRIV_H
 #define FL_TASK_NET_PRIV_H
 
@@ -13,8 +14,8 @@
 struct out {
     struct out *next;
     size_t len;
-    size_t off;           /* written already */
-    unsigned char data[]; /* LWS_PRE bytes of room, then the message */
+    size_t off;           /* bytes already written */
+    unsigned char data[]; /* LWS_PRE bytes reserved for lws, then the message */
 };
 
 enum kind { K_WS, K_RAW, K_STREAM, K_HTTP_SERVER, K_HTTP_CLIENT };
@@ -22,7 +23,7 @@
 
 struct nt_conn {
     struct nt_loop *loop;
-    struct nt_listener *ln; /* NULL on the connecting side */
+    struct nt_listener *ln; /* NULL for an outgoing connection */
     struct lws *wsi;
     enum kind kind;
     const struct nt_ops *ops;
@@ -33,18 +34,18 @@
     size_t dropped;             /* bytes that came while it was being closed */
     struct nt_traffic *traffic; /* NULL: not metered */
     struct sr_buf in;
-    int64_t began;        /* of connecting */
-    struct nt_timer late; /* delivers a failed connect from the loop */
+    int64_t connect_started;         /* of connecting */
+    struct nt_timer connect_failure; /* delivers a failed connect from the loop */
     /* plain HTTP */
     char path[256], query[512], method[8];
     struct sr_buf body;
     void (*done)(void *, int, const char *, size_t);
     int status;
     bool replied;
-    bool idle; /* answered, and kept for the next request */
-    struct nt_conn *older,
-        *newer;    /* of its listener's, by when they last were asked or answered */
-    int n_headers; /* of a request of ours */
+    bool idle; /* the last request is answered and the connection is kept for the next one */
+    /* list link of the listener's HTTP connections, ordered by last request or reply */
+    struct nt_conn *older, *newer;
+    int n_headers; /* headers of an outgoing request */
     char header_name[NP_MAX_HEADERS][32], header_value[NP_MAX_HEADERS][64];
 };
 
@@ -53,8 +54,8 @@
     struct nt_listen what;
     struct lws_vhost *vh;
     char ip[64];
-    bool refuses; /* whoever comes now */
-    int n_http;   /* plain HTTP connections */
+    bool refuse_new; /* whoever comes now */
+    int n_http;      /* plain HTTP connections */
     struct nt_conn *oldest, *newest;
     struct nt_listener *next;
 };
@@ -62,14 +63,14 @@
 struct nt_loop {
     uv_loop_t uv; /* epoll below; lws's own poll() costs more the more sockets are idle */
     uv_prepare_t before_poll;
-    int64_t heard_until;
+    int64_t received_until;
     struct lws_context *ctx;
     struct lws_vhost *client_vh;
     bool stop;
     void (*wake)(void *);
     void *wake_ud;
     struct nt_counters st;
-    int64_t stalled_until; /* the end of the last stall that was told */
+    int64_t stalled_until; /* ck_now() time at which the last logged stall ended */
     struct nt_listener *listeners;
 };
 
@@ -79,12 +80,12 @@
                             void *ud);
 void np_conn_closed(struct nt_conn *c);
 void np_pop_out(struct nt_conn *c);
-/* The connection is open: bound how long a peer that went silent is believed to be there. */
+/* Enable TCP timeouts on an open connection, so that an unreachable peer is detected. */
 void np_watch_peer(struct nt_conn *c);
 void np_start_connect(struct nt_conn *c, const char *ip, int port, const char *method,
                       const char *path);
-/* The connection is gone from its listener's list. */
-void np_http_gone(struct nt_conn *c);
+/* Remove a closed connection from its listener's list. */
+void np_http_conn_closed(struct nt_conn *c);
 int np_http_writable(struct nt_conn *c);
 int np_http_start(struct nt_listener *ln, struct lws *wsi, const char *uri, size_t len);
 int np_http_body(struct nt_conn *c, const void *in, size_t len);
--- a/tests/unit/test_net.c
+++ b/tests/unit/test_net.c
@@ -174,7 +174,7 @@
 static void stall_look(void *ud)
 {
     (void)ud;
-    bool believed = nt_heard_until(stall.loop) > stall.said_at;
+    bool believed = nt_received_until(stall.loop) > stall.said_at;
     CU_ASSERT(stall.heard || !believed);
     stall.looked = true;
     if (stall.heard && believed)
@@ -190,7 +190,7 @@
     nt_send(stall.peer, "x", 1);
     nt_timer_set(stall.loop, &stall.look, 1, stall_look, NULL);
     ck_advance(CK_SEC(1));
-    CU_ASSERT(nt_heard_until(stall.loop) <= stall.said_at);
+    CU_ASSERT(nt_received_until(stall.loop) <= stall.said_at);
 }
 
 /* Guards against verdicts of silence over peers whose words were in the socket: a timer that
@@ -237,7 +237,7 @@
 {
     (void)ud;
     char byte;
-    rest.closes = nt_close_resting(c);
+    rest.closes = nt_close_if_idle(c);
     rest.told = recv(rest.fd, &byte, 1, MSG_DONTWAIT);
 }
 
@@ -506,7 +506,7 @@
 /* A connect to a VM that had no power is not answered; the VM comes back and connects to us. */
 static void a_peer_that_is_heard_is_dialled_at_once(void)
 {
-    struct rd_line l = {0};
+    struct rd_state l = {0};
     rd_dialed(&l, 0);
     rd_heard(&l, 120000);
     rd_closed(&l, 120000); /* what was under way is given up */
@@ -520,7 +520,7 @@
  * never answers is asked less and less often. */
 static void unanswered_connects_are_made_anew(void)
 {
-    struct rd_line l = {0};
+    struct rd_state l = {0};
     CU_ASSERT(rd_due(&l, 0));
     rd_dialed(&l, 1000);
     CU_ASSERT_FALSE(rd_hangs(&l, 1000 + 250000));
