--- a/settings/settings.h
+++ b/settings/settings.h
@@ -9,7 +9,7 @@
 #include "misc/str.h"
 
 /* A planned stop takes at most ST_STOP_PERCENT of the time until the process is killed. */
-enum { ST_MAX_PEERS = 9, ST_TEXT = 128, ST_STOP_PERCENT = 90 };
+enum { ST_MAX_PEERS = 9, ST_TEXT_BYTES = 128, ST_STOP_PERCENT = 90 };
 
 struct st_peer {
     char name[32];
@@ -25,7 +25,7 @@
 };
 
 struct st_settings {
-    char cluster[64], secret[ST_TEXT], secret_file[256];
+    char cluster[64], secret[ST_TEXT_BYTES], secret_file[256];
     char name[32], domain[32];
     int link_kbps, core_permille; /* of the VM; 0: not told */
     bool entry, control;
@@ -64,7 +64,7 @@
     bool primary_only;   /* baseline: no read goes to a replica */
     bool lease_failover; /* baseline: wait for leases before promoting */
     bool first_come;     /* baseline: plain first-come queue */
-    char log_level[ST_TEXT];
+    char log_level[ST_TEXT_BYTES];
     bool log_json;
 };
 
--- a/settings/table.h
+++ b/settings/table.h
@@ -20,7 +20,7 @@
 struct st_option {
     const char *key; /* dotted path */
     enum st_type type;
-    size_t at, size; /* field in struct st_settings */
+    size_t offset, size; /* field in struct st_settings */
     long lo, hi;
     const char *unit;
     const char *def; /* as JSON text */
