--- a/control/control.h
+++ b/control/control.h
@@ -209,10 +209,10 @@
     /* index in `groups` by group name, by instance id */
     struct ix_index group_index, inst_index;
     unsigned ticks;
-    int next_group;         /* group that the next tick begins with; -1: the first */
+    int next_group;        /* group that the next tick begins with; -1: the first */
     int conn_changes_left; /* connections to instances that this tick may still open or close */
     struct vp_batch unsent_changes; /* changes of instances not sent to entry nodes yet */
-    struct vp_limiter pace;            /* of views sent to entry nodes; reset by a new leader */
+    struct vp_limiter pace;         /* of views sent to entry nodes; reset by a new leader */
     struct ct_cached_frame changes_frame, whole_frame; /* view messages sent last */
     struct ct_cached_frame nodes_changes, nodes_whole; /* node lists sent last */
     /* ---- state of the leader ---- */
--- a/control/pending_view.h
+++ b/control/pending_view.h
@@ -16,7 +16,8 @@
 };
 
 /* Whether the view may be sent now; otherwise it is deferred. */
-static inline bool pv_try_send(struct pv_pending_view *t, const struct vp_limiter *p, int64_t now)
+static inline bool pv_try_send(struct pv_pending_view *t, const struct vp_limiter *p,
+                               int64_t now)
 {
     if (!t->waiting)
         t->since = now;
--- a/entry/forward.c
+++ b/entry/forward.c
@@ -112,8 +112,8 @@
     return !r->req.txn[0] && (kind == ER_STOPPING || kind == ER_ENDPOINT);
 }
 
-static void handle_answer(struct en_upstream *up, struct en_req *r, const char *data, size_t len,
-                          enum er_kind kind)
+static void handle_answer(struct en_upstream *up, struct en_req *r, const char *data,
+                          size_t len, enum er_kind kind)
 {
     update_txn_count(up, r, kind);
     if (may_try_another_holder(r, kind)) {
--- a/entry/link.c
+++ b/entry/link.c
@@ -123,9 +123,9 @@
 static bool renewal_due(struct en_node *n, int64_t now)
 {
     /* The answer to the last renewal may be received but unread. */
-    int64_t heard_until =
-        n->renewal_pending ? nt_received_until(n->loop) : now;
-    return heard_until >= n->next_renew_at || (!n->renewal_pending && n->px && px_has_changes(n->px));
+    int64_t heard_until = n->renewal_pending ? nt_received_until(n->loop) : now;
+    return heard_until >= n->next_renew_at ||
+           (!n->renewal_pending && n->px && px_has_changes(n->px));
 }
 
 /* Sends RENEWALS_PER_LEASE renewals per lease. After a renewal that was not answered in time,
@@ -311,7 +311,8 @@
     if (in->status_ep && now - in->last_received <= HEALTH_FRESH_US)
         return WR_OK;
     bool reply_may_be_unread =
-        in->status_ep && nt_received_until(in->node->loop) - in->last_received <= HEALTH_FRESH_US;
+        in->status_ep &&
+        nt_received_until(in->node->loop) - in->last_received <= HEALTH_FRESH_US;
     return reply_may_be_unread ? WR_UNKNOWN : WR_SILENT;
 }
 
@@ -332,7 +333,8 @@
     struct en_node *n = in->node;
     int64_t now = ck_now();
     struct en_group *g = in->group;
-    if (in->removed || now - in->suspected_at < SUSPECT_INTERVAL_US || in->index != g->cfg.primary)
+    if (in->removed || now - in->suspected_at < SUSPECT_INTERVAL_US ||
+        in->index != g->cfg.primary)
         return;
     in->suspected_at = now;
     tl_add(n->tl, TL_SUSPECT, g->cfg.name, g->cfg.term, "%s %s", in->cfg.id,
--- a/entry/pool.c
+++ b/entry/pool.c
@@ -431,7 +431,8 @@
     while ((it = ad_pop_late(&in->queue, now, &retry)))
         en_defer((struct en_req *)it, ER_OVERLOAD, retry);
     struct en_ep *ep;
-    while (in->queue.queued > 0 && (ep = idle_connection(in)) && (it = ad_next(&in->queue, now))) {
+    while (in->queue.queued > 0 && (ep = idle_connection(in)) &&
+           (it = ad_next(&in->queue, now))) {
         struct en_req *r = (struct en_req *)it;
         if (!valid_in_current_view(in, r)) {
             ad_cancel(&in->queue);
@@ -440,7 +441,8 @@
         }
         start_request(in, ep, r);
     }
-    bool may_open = in->n_conns < in->share && in->group->held && n_opening(in) < in->queue.queued;
+    bool may_open =
+        in->n_conns < in->share && in->group->held && n_opening(in) < in->queue.queued;
     if (in->queue.queued > 0 && may_open && now >= in->next_open_at)
         open_connection(in);
 }
--- a/proxy/proxy.c
+++ b/proxy/proxy.c
@@ -82,7 +82,8 @@
     in->replaced -= (in->replaced + 3) / 4;
     *out = (struct wr_share){sr_from(in->cfg.id), (uint32_t)held, (uint32_t)want};
     /* The peak demand decays slowly because it takes time to get a share. */
-    in->peak_demand -= (in->peak_demand + 3) / 4; /* demand decays slowly, as a share takes time to get */
+    in->peak_demand -=
+        (in->peak_demand + 3) / 4; /* demand decays slowly, as a share takes time to get */
     if (in->peak_demand < in->busy + in->n_waiters)
         in->peak_demand = in->busy + in->n_waiters;
 }
--- a/proxy/relay.c
+++ b/proxy/relay.c
@@ -497,7 +497,8 @@
         if (px_pending_harmless(&r->pending) ||
             px_received_until(s->p) - r->pending_since > time_limit_us(s))
             fail_unanswered(r, true, PX_END_HOLDER_SILENT);
-    } else if (r->idle && now - r->nb->status.silent_since > px_stagger_us(s, STAGGER_CLOSE_US)) {
+    } else if (r->idle &&
+               now - r->nb->status.silent_since > px_stagger_us(s, STAGGER_CLOSE_US)) {
         begin_ending(r, PX_END_HOLDER_SILENT);
     }
 }
@@ -539,6 +540,7 @@
     int64_t received_until = px_received_until(s->p);
     if (!r->via_non_holder)
         nb_unanswered(&r->nb->status, r->step_began, received_until);
-    if (received_until - r->step_began > GREETING_TIMEOUT_US || r->nb->status.state == NB_SILENT)
+    if (received_until - r->step_began > GREETING_TIMEOUT_US ||
+        r->nb->status.state == NB_SILENT)
         on_greeting_timeout(r, now);
 }
