--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -301,8 +301,8 @@
     int n_groups;
     struct px_group **groups; /* sorted by name */
     int n_nodes;
-    struct px_saturation_common
-        saturation; /* instances that accept fewer connections than this node's shares */
+    /* instances that accept fewer connections than this node's shares */
+    struct px_saturation_common saturation;
     struct ho_node *nodes; /* entry nodes with a lease, prepared by ho_prepare */
     int64_t configured_at; /* when the first document came into force */
     bool knew_nodes;       /* px_knows_nodes at the last update of the groups */
--- a/proxy/relay.c
+++ b/proxy/relay.c
@@ -230,7 +230,7 @@
 }
 
 /* The serving node ended the session while it was idle there. Requests sent since did not run,
- * and the caller is told so. */
+ * and the caller gets an error. */
 static void on_end(struct px_relay *r)
 {
     if (!r->s->net)
@@ -539,6 +539,7 @@
     int64_t received_until = px_received_until(s->p);
     if (!r->via_non_holder)
         nb_waits(&r->nb->status, r->step_began, received_until);
-    if (received_until - r->step_began > GREETING_TIMEOUT_US || r->nb->status.state == NB_SILENT)
+    if (received_until - r->step_began > GREETING_TIMEOUT_US ||
+        r->nb->status.state == NB_SILENT)
         on_greeting_timeout(r, now);
 }
