--- a/proxy/relay.c
+++ b/proxy/relay.c
@@ -230,7 +230,7 @@
 }
 
 /* The serving node ended the session while it was idle there. Requests sent since did not run,
- * and the caller is told so. */
+ * and the caller gets an error. */
 static void on_end(struct px_relay *r)
 {
     if (!r->s->net)
