--- a/admit/admit.c
+++ b/admit/admit.c
@@ -1,3 +1,4 @@
+/* Admission control: queue order, wait estimates and the limit on statements in flight. */
 #include "admit/admit.h"
 
 #include <string.h>
@@ -6,10 +7,11 @@
 #define LIMIT_DECREASE_FACTOR 0.9
 #define SMOOTHING_WEIGHT 0.1
 #define MIN_CAPACITY_LEFT 0.02
-/* A queue as long as the deadline allows serves everything late and refuses late: the expected
- * wait may take a quarter of the time that is left. Measured by `ferry-bench overload`. */
+/* The expected wait may take at most a quarter of the time until the deadline. A queue that may
+ * use all of that time serves every item late and also refuses late. */
 #define WAIT_SAFETY_FACTOR 4
-#define BASE_GROWTH_FACTOR 1.002 /* lets the base rise slowly if the instance became slower */
+/* Growth of the base per statement, so that it rises slowly if the instance became slower. */
+#define BASE_GROWTH_FACTOR 1.002
 enum { MAX_RETRY_MS = 5000 };
 
 void ad_init(struct ad_queue *q, const struct ad_config *cfg, uint64_t seed)
@@ -39,7 +41,7 @@
         q->limit = 1;
 }
 
-/* How many items would be served before a new one of this class and account. */
+/* The number of items that would be served before a new one of this class and account. */
 static int ahead_of(const struct ad_queue *q, enum ad_class cls, uint64_t account)
 {
     if (q->cfg.fifo)
@@ -53,7 +55,7 @@
     return n + (fair < l->n ? fair : l->n);
 }
 
-/* The expected wait: a class gets what the classes before it leave. */
+/* The expected wait. A class gets the capacity that the classes before it leave. */
 static double wait_us(const struct ad_queue *q, enum ad_class cls, int ahead)
 {
     if (q->in_flight < (int)q->limit && q->queued == 0)
@@ -69,7 +71,7 @@
     return ms < MAX_RETRY_MS ? (int64_t)ms : MAX_RETRY_MS;
 }
 
-/* Link the item in at `at`. */
+/* Links the item in at `at`. */
 static void link_item(struct ad_fifo *f, struct ad_item *it, struct ad_item **at)
 {
     bool first = at == f->priority_tail && it->first;
@@ -82,7 +84,7 @@
         f->priority_tail = &it->next;
 }
 
-/* Take the item at `at` out. */
+/* Unlinks the item at `at`. */
 static struct ad_item *unlink_item(struct ad_fifo *f, struct ad_item **at)
 {
     struct ad_item *it = *at;
@@ -143,7 +145,7 @@
     q->queued--;
 }
 
-/* One item per account in turn. */
+/* Takes the next item of a class, one per account in round-robin order. */
 static struct ad_item *pop_lane(struct ad_queue *q, struct ad_lane *l)
 {
     for (int k = 0; k < AD_ACCOUNTS; k++) {
@@ -169,14 +171,14 @@
         return NULL;
     struct ad_item *it = ad_pop_any(q);
     if (q->in_flight == 0)
-        q->last_done = now; /* a busy time begins: the idle time before it is no pace */
+        q->last_done = now; /* a busy period starts: idle time must not count into gap_us */
     q->in_flight++;
     for (int c = 0; c < AD_CLASSES; c++)
         q->higher_share[c] += SMOOTHING_WEIGHT / 20 * (((int)it->cls < c) - q->higher_share[c]);
     return it;
 }
 
-/* When the item at the head of an account's queue in class c would be done, as things stand. */
+/* The expected completion time of the item at the head of an account's queue in class c. */
 static double done_from_head(const struct ad_queue *q, int c, int64_t now)
 {
     int ahead = q->lane[c].active / 2;
@@ -217,7 +219,7 @@
     double delay = us - q->base_us;
     if (delay > (double)q->cfg.target_us) {
         if (now - q->lowered_at < (int64_t)q->service_us)
-            return; /* one cut a round trip */
+            return; /* lower the limit at most once per service time */
         q->limit *= LIMIT_DECREASE_FACTOR;
         q->lowered_at = now;
     } else if (q->in_flight + 1 >= (int)q->limit) {
--- a/caller/caller.c
+++ b/caller/caller.c
@@ -1,3 +1,4 @@
+/* Parses requests of callers and writes their answers as JSON. */
 #include "caller/caller.h"
 
 #include <stdlib.h>
@@ -20,14 +21,14 @@
     if (!v && !required)
         return true;
     if (!json_is_string(v))
-        return er_set(err, ER_BAD_INPUT, "%s: expected text", key);
+        return er_set(err, ER_BAD_INPUT, "%s: expected a string", key);
     struct sr_str s = {json_string_value(v), json_string_length(v)};
     if (memchr(s.p, 0, s.len))
-        return er_set(err, ER_BAD_INPUT, "%s: holds a NUL", key);
+        return er_set(err, ER_BAD_INPUT, "%s: contains a NUL byte", key);
     if (!sr_copy(dst, cap, s))
         return er_set(err, ER_TOO_LARGE, "%s: %zu bytes, expected under %zu", key, s.len, cap);
     if (required && s.len == 0)
-        return er_set(err, ER_BAD_INPUT, "%s: is empty", key);
+        return er_set(err, ER_BAD_INPUT, "%s: must not be empty", key);
     return true;
 }
 
@@ -38,7 +39,7 @@
     if (!v || json_is_null(v))
         return true;
     if (!json_is_integer(v) || json_integer_value(v) < lo || json_integer_value(v) > hi)
-        return er_set(err, ER_BAD_INPUT, "%s: expected a whole number %lld..%lld", key,
+        return er_set(err, ER_BAD_INPUT, "%s: expected an integer in %lld..%lld", key,
                       (long long)lo, (long long)hi);
     *out = json_integer_value(v);
     return true;
@@ -63,7 +64,7 @@
     const json_t *v = json_object_get(o, "stmt");
     size_t n = json_string_length(v);
     if (!json_is_string(v) || n == 0)
-        return er_set(err, ER_BAD_INPUT, "stmt: expected text");
+        return er_set(err, ER_BAD_INPUT, "stmt: expected a non-empty string");
     if (n >= CL_STMT)
         return er_set(err, ER_TOO_LARGE, "stmt: %zu bytes, expected under %d", n, CL_STMT);
     r->stmt = sr_alloc(n + 1);
@@ -101,7 +102,7 @@
     r->priority = (int)priority;
     r->tag = (uint64_t)tag;
     if (r->txn[0] == 0 && (r->kind == CL_COMMIT || r->kind == CL_ROLLBACK))
-        return er_set(err, ER_BAD_INPUT, "txn: %s needs it", kind_names[r->kind]);
+        return er_set(err, ER_BAD_INPUT, "txn: required for %s", kind_names[r->kind]);
     return true;
 }
 
@@ -113,7 +114,7 @@
     r->deadline_ms = CL_DEFAULT_DEADLINE_MS;
     json_t *o = json_loadb(text, len, JSON_REJECT_DUPLICATES, &je);
     if (!o)
-        return er_set(err, ER_BAD_INPUT, "not JSON: %s at byte %d", je.text, je.position);
+        return er_set(err, ER_BAD_INPUT, "invalid JSON: %s at byte %d", je.text, je.position);
     bool ok = json_is_object(o) ? parse_fields(o, r, err)
                                 : er_set(err, ER_BAD_INPUT, "expected a JSON object");
     json_decref(o);
@@ -153,8 +154,8 @@
 
 /* ---- answers ---- */
 
-/* JSON text of a string; statements may return any bytes, so what is not UTF-8 is refused by
- * jansson and shown as empty. */
+/* Appends a member with a JSON string. Statements may return any bytes; jansson rejects text
+ * that is not UTF-8, and the member is then an empty string. */
 static void put_string(struct sr_buf *out, const char *key, struct sr_str s)
 {
     json_t *v = json_stringn(s.p, s.len);
--- a/endpoint/endpoint.h
+++ b/endpoint/endpoint.h
@@ -1,7 +1,8 @@
-/* The endpoint driver table: what the daemons ask of a database instance.
+/* The interface of endpoint drivers: the operations that ferryd needs from a database instance.
  *
- * One connection carries one statement at a time; position pushes may come between. The core
- * never asks which driver it has, only what it can (`caps`). */
+ * A connection carries one statement at a time; position pushes may arrive in between. Users of
+ * a driver check its capabilities (`caps`), never which driver it is. Times are in
+ * microseconds. */
 #ifndef FL_ENDPOINT_ENDPOINT_H
 #define FL_ENDPOINT_ENDPOINT_H
 
@@ -10,8 +11,8 @@
 #include "task/net.h"
 
 enum ep_cap {
-    EP_FENCE = 1,     /* an instance given a higher term refuses lower ones */
-    EP_MINPOS = 2,    /* a read names the position it needs */
+    EP_FENCE = 1,     /* an instance that has seen a higher term refuses lower ones */
+    EP_MINPOS = 2,    /* a read states the position that must be applied */
     EP_CLAIM = 4,     /* a request id is claimed in the statement's transaction */
     EP_POSITIONS = 8, /* the instance pushes its positions */
 };
@@ -33,13 +34,13 @@
 
 struct ep_request {
     enum ep_op op;
-    uint64_t id;        /* echoed; the connection's own numbering */
+    uint64_t id;        /* returned in the reply; unique per connection */
     struct sr_str stmt; /* READ, WRITE */
-    /* WRITE, BEGIN, DO_*: the term it is meant for. READ: the primary's term; 0 asks a replica,
-     * and an instance that is or was a primary and has not followed one since then answers that
-     * it is behind: the end of its log may vanish. */
+    /* WRITE, BEGIN, DO_*: the term in which the request is valid. READ: the primary's term, or
+     * 0 to read at a replica. With 0, an instance that is a primary, or was one and has not
+     * followed another since, answers EP_BEHIND, as the end of its log may be discarded. */
     uint64_t term;
-    struct ps_pos min;   /* READ: what must be applied; pos 0: anything */
+    struct ps_pos min;   /* READ: position that must be applied; pos 0: any */
     int64_t wait_us;     /* READ: how long the instance may wait for `min` */
     struct sr_str claim; /* WRITE, COMMIT: request id; empty: none */
     bool txn;            /* READ, WRITE inside the open transaction */
@@ -50,17 +51,17 @@
 enum ep_result {
     EP_OK,
     EP_BEHIND,  /* READ: `min` is not applied; not run */
-    EP_REFUSED, /* other term, or not the primary; not run */
-    EP_BAD,     /* the statement is wrong; not run */
+    EP_REFUSED, /* different term, or not the primary; not run */
+    EP_BAD,     /* invalid statement; not run */
 };
 
 struct ep_reply {
     uint64_t id;
     enum ep_result result;
-    struct sr_str value; /* what the statement gives, or what is wrong with it */
-    bool duplicate;      /* the claim was there: this is the first run's answer */
-    struct ps_pos pos;   /* READ: applied when it ran; WRITE, COMMIT: of the write */
-    /* DO_*, STATUS and pushes: */
+    struct sr_str value; /* the result of the statement, or its error */
+    bool duplicate;      /* the claim already existed; this is the answer of the first run */
+    struct ps_pos pos;   /* READ: applied position at the run; WRITE, COMMIT: of the write */
+    /* Set for DO_*, STATUS and pushes: */
     bool primary;
     uint64_t term, following;
     struct ps_pos held, applied;
@@ -71,42 +72,43 @@
 struct ep_events {
     void (*open)(struct ep_conn *c, void *ud);
     void (*reply)(struct ep_conn *c, void *ud, const struct ep_reply *r);
-    /* Positions moved; id is 0. */
+    /* The instance's positions have changed; the reply's id is 0. */
     void (*push)(struct ep_conn *c, void *ud, const struct ep_reply *r);
-    /* Last call. `refused`: the instance is there but nothing listens. */
+    /* The last event of a connection. `opened`: open() was called. `refused`: the host rejected
+     * the connection because nothing listens on the port. */
     void (*close)(struct ep_conn *c, void *ud, bool opened, bool refused);
 };
 
-/* Which instance a connection is for. */
+/* The instance that a connection is for. */
 struct ep_target {
     const char *ip;
     int port;
-    const char *group, *id; /* a driver may tell them, so that another instance refuses */
+    const char *group, *id; /* a driver may send them so that a wrong instance refuses */
 };
 
 struct ep_driver {
     const char *name;
     unsigned caps;
-    /* Connect and introduce ourselves as `who` ("entry:e0", "control:c1"); open() follows. */
+    /* Connects and sends `client_name` ("entry:e0", "control:c1"); the open event follows. */
     struct ep_conn *(*open)(struct nt_loop *l, const struct ep_target *to,
                             const char *client_name, const struct ep_events *ev, void *ud);
-    /* False if nothing was queued: certainly not run. */
+    /* Returns false if nothing was queued; the request is then certainly not run. */
     bool (*send)(struct ep_conn *c, const struct ep_request *r);
-    /* close() follows, never from within. */
+    /* The close event follows, never during this call. */
     void (*close)(struct ep_conn *c);
 };
 
-/* Every connection begins with this; a driver's own state follows it. */
+/* The first member of every driver's connection struct. */
 struct ep_conn {
     const struct ep_driver *driver;
     void *ud;
 };
 
-/* WebSocket and JSON, for instances that expose terms and positions. */
+/* Driver for instances that expose terms and positions, over WebSocket with JSON messages. */
 extern const struct ep_driver ep_ws;
 
-/* Untrusted text in; false if it is no reply. Strings point into `*keep`, which the caller
- * releases with json_decref. */
+/* Parses untrusted text; returns false if it is not a valid reply. Strings in `r` point into
+ * `*json`, released with json_decref by the user of the function. */
 bool ep_reply_parse(const char *data, size_t len, struct ep_reply *r, void **json,
                     struct er_err *err);
 
--- a/endpoint/ws.c
+++ b/endpoint/ws.c
@@ -1,3 +1,4 @@
+/* Endpoint driver for instances with a WebSocket port and JSON messages. */
 #include <stdlib.h>
 
 #include <jansson.h>
@@ -14,7 +15,7 @@
     const struct ep_events *ev;
     struct nt_conn *net;
     bool open;
-    struct nt_timer greeting_timer; /* the instance has so long to greet */
+    struct nt_timer greeting_timer; /* time limit for the instance's first message */
     char client_name[64];
 };
 
@@ -59,7 +60,7 @@
     json_t *o = json_loadb(data, len, 0, &je);
     *json = o;
     if (!json_is_object(o))
-        return er_set(err, ER_BAD_INPUT, "endpoint reply is no JSON object: %s", je.text);
+        return er_set(err, ER_BAD_INPUT, "endpoint reply is not a JSON object: %s", je.text);
     r->id = (uint64_t)json_integer_value(json_object_get(o, "id"));
     r->value = (struct sr_str){json_string_value(json_object_get(o, "value")),
                                json_string_length(json_object_get(o, "value"))};
@@ -71,7 +72,7 @@
     r->following = (uint64_t)json_integer_value(json_object_get(o, "following"));
     if (!get_result(o, &r->result) || !get_pos(o, "pos", &r->pos) ||
         !get_pos(o, "held", &r->held) || !get_pos(o, "applied", &r->applied))
-        return er_set(err, ER_BAD_INPUT, "endpoint reply with a wrong result or position");
+        return er_set(err, ER_BAD_INPUT, "endpoint reply has an invalid result or position");
     return true;
 }
 
@@ -146,7 +147,7 @@
     struct er_err err = {0};
     void *json = NULL;
     if (!ep_reply_parse(data, len, &r, &json, &err)) {
-        FL_WARN(&endpoint_log, "%s: closing the connection", err.text);
+        FL_WARN(&endpoint_log, "%s; closing the connection", err.text);
         nt_close(net, true);
     } else if (!c->open) {
         c->open = true;
@@ -173,7 +174,8 @@
 
 static const struct nt_ops ws_ops = {on_open, on_message, on_close};
 
-/* It accepted and says nothing: without this the connection would stay half open for good. */
+/* The instance accepted the connection but sent no greeting. Without this timeout, the
+ * connection would stay in this state forever. */
 static void on_greeting_timeout(void *ud)
 {
     struct ws_conn *c = ud;
--- a/session/token.c
+++ b/session/token.c
@@ -1,3 +1,4 @@
+/* Encodes and verifies session tokens. */
 #include "session/token.h"
 
 #include <sodium.h>
