--- a/caller/caller.c
+++ b/caller/caller.c
@@ -65,8 +65,9 @@
     size_t n = json_string_length(v);
     if (!json_is_string(v) || n == 0)
         return er_set(err, ER_BAD_INPUT, "stmt: expected a non-empty string");
-    if (n >= CL_STMT)
-        return er_set(err, ER_TOO_LARGE, "stmt: %zu bytes, expected under %d", n, CL_STMT);
+    if (n >= CL_STMT_BYTES)
+        return er_set(err, ER_TOO_LARGE, "stmt: %zu bytes, expected under %d", n,
+                      CL_STMT_BYTES);
     r->stmt = sr_alloc(n + 1);
     memcpy(r->stmt, json_string_value(v), n);
     return true;
--- a/caller/caller.h
+++ b/caller/caller.h
@@ -8,12 +8,12 @@
 #include "misc/str.h"
 
 enum {
-    CL_ID = 96,
-    CL_ACCOUNT = 64,
-    CL_DB = 48,
-    CL_TOKEN = 96,
-    CL_TXN = 40,
-    CL_STMT = 16384,
+    CL_ID_BYTES = 96,
+    CL_ACCOUNT_BYTES = 64,
+    CL_DB_BYTES = 48,
+    CL_TOKEN_BYTES = 96,
+    CL_TXN_BYTES = 40,
+    CL_STMT_BYTES = 16384,
     CL_MAX_DEADLINE_MS = 60000,
     CL_DEFAULT_DEADLINE_MS = 5000,
 };
@@ -21,21 +21,21 @@
 enum cl_kind { CL_READ, CL_WRITE, CL_BEGIN, CL_COMMIT, CL_ROLLBACK };
 
 struct cl_request {
-    char id[CL_ID];
-    char account[CL_ACCOUNT];
-    char db[CL_DB];
+    char id[CL_ID_BYTES];
+    char account[CL_ACCOUNT_BYTES];
+    char db[CL_DB_BYTES];
     enum cl_kind kind;
-    char token[CL_TOKEN]; /* "" none */
-    char txn[CL_TXN];     /* "" outside a transaction */
-    char *stmt;           /* allocated; NULL for begin, commit, rollback */
-    bool repeat_safe;     /* running the request twice is harmless */
-    int64_t age_ms;       /* greatest accepted age of a read's data; -1: none accepted */
-    int64_t deadline_ms;  /* from now */
-    int64_t issued_ms;    /* wall clock at the first sending of this id; 0 not given */
-    int priority;         /* 0 normal, 1 first within its kind */
-    bool resend;          /* this id may have been sent before */
-    uint64_t tag;         /* identifies a forwarded request in its answer; 0 none */
-    bool hop;             /* another entry node has forwarded the request */
+    char token[CL_TOKEN_BYTES]; /* "" none */
+    char txn[CL_TXN_BYTES];     /* "" outside a transaction */
+    char *stmt;                 /* allocated; NULL for begin, commit, rollback */
+    bool repeat_safe;           /* running the request twice is harmless */
+    int64_t age_ms;             /* greatest accepted age of a read's data; -1: none accepted */
+    int64_t deadline_ms;        /* from now */
+    int64_t issued_ms;          /* wall clock at the first sending of this id; 0 not given */
+    int priority;               /* 0 normal, 1 first within its kind */
+    bool resend;                /* this id may have been sent before */
+    uint64_t tag;               /* identifies a forwarded request in its answer; 0 none */
+    bool hop;                   /* another entry node has forwarded the request */
 };
 
 struct cl_answer {
--- a/entry/entry.h
+++ b/entry/entry.h
@@ -130,7 +130,7 @@
 
 struct en_txn {
     struct en_txn *next; /* of the node's */
-    char name[CL_TXN];
+    char name[CL_TXN_BYTES];
     struct en_caller *caller;
     struct en_group *group;
     struct en_ep *ep; /* NULL: lost, rolled back */
--- a/entry/pool.c
+++ b/entry/pool.c
@@ -401,7 +401,7 @@
 
 static void start_request(struct en_inst *in, struct en_ep *ep, struct en_req *r)
 {
-    char claim[CL_ACCOUNT + CL_ID + 2];
+    char claim[CL_ACCOUNT_BYTES + CL_ID_BYTES + 2];
     struct ep_request q = {0};
     r->term = r->at_primary ? in->group->serve_term : 0;
     fill_request(r, &q, claim, sizeof(claim));
--- a/entry/txn.c
+++ b/entry/txn.c
@@ -93,7 +93,7 @@
 
 static void send_statement(struct en_req *r, struct en_txn *t)
 {
-    char claim[CL_ACCOUNT + CL_ID + 2];
+    char claim[CL_ACCOUNT_BYTES + CL_ID_BYTES + 2];
     struct ep_request q = {.stmt = sr_from(r->r.stmt), .term = t->term, .txn = true};
     static const enum ep_op ops[] = {EP_READ, EP_WRITE, EP_BEGIN, EP_COMMIT, EP_ROLLBACK};
     q.op = ops[r->r.kind];
