--- a/entry/entry.h
+++ b/entry/entry.h
@@ -134,7 +134,7 @@
 
 struct en_txn {
     struct en_txn *next; /* list en_node.txns */
-    char name[CL_TXN];
+    char name[CL_TXN_BYTES];
     struct en_caller *caller;
     struct en_group *group;
     struct en_ep *ep; /* NULL: the connection was lost and the transaction rolled back */
