--- a/misc/hist.c
+++ b/misc/hist.c
@@ -9,7 +9,7 @@
     return b < HI_BUCKETS ? b : HI_BUCKETS - 1;
 }
 
-static int64_t edge_of(unsigned b)
+static int64_t upper_edge(unsigned b)
 {
     if (b < HI_SUB)
         return b;
@@ -34,7 +34,7 @@
     for (unsigned b = 0; b < HI_BUCKETS; b++) {
         seen += h->bucket[b];
         if (seen > want)
-            return edge_of(b);
+            return upper_edge(b);
     }
     return (int64_t)h->max;
 }
--- a/misc/index.c
+++ b/misc/index.c
@@ -9,9 +9,9 @@
 
 #include "misc/str.h"
 
-enum { LEAST = 16 };
+enum { MIN_SLOTS = 16 };
 
-static int home_of(const struct ix_index *ix, const char *name)
+static int home_slot(const struct ix_index *ix, const char *name)
 {
     return (int)(XXH64(name, strlen(name), 0) % (uint64_t)ix->cap);
 }
@@ -19,7 +19,7 @@
 /* Where the name is, or the free slot where it would go. */
 static int find(const struct ix_index *ix, const char *name)
 {
-    int at = home_of(ix, name);
+    int at = home_slot(ix, name);
     while (ix->slots[at].name[0] && strcmp(ix->slots[at].name, name) != 0)
         at = (at + 1) % ix->cap;
     return at;
@@ -36,7 +36,7 @@
 static void grow(struct ix_index *ix)
 {
     struct ix_index old = *ix;
-    ix->cap = old.cap ? old.cap * 2 : LEAST;
+    ix->cap = old.cap ? old.cap * 2 : MIN_SLOTS;
     ix->slots = sr_alloc(sizeof(*ix->slots) * (size_t)ix->cap);
     for (int i = 0; i < old.cap; i++) {
         if (old.slots[i].name[0])
@@ -68,7 +68,7 @@
     ix->n--;
     /* What lies behind moves up if its way to its slot leads through the hole. */
     for (int at = (hole + 1) % ix->cap; ix->slots[at].name[0]; at = (at + 1) % ix->cap) {
-        int home = home_of(ix, ix->slots[at].name);
+        int home = home_slot(ix, ix->slots[at].name);
         int from_home = (at - home + ix->cap) % ix->cap;
         int from_hole = (at - hole + ix->cap) % ix->cap;
         if (from_home < from_hole)
--- a/misc/json.c
+++ b/misc/json.c
@@ -4,8 +4,8 @@
 #include <string.h>
 
 enum {
-    PLAIN_DIGITS = 15, /* a number of more may not fit */
-    OWN_DEPTH = 16,    /* what is nested deeper is left to jansson */
+    MAX_FAST_DIGITS = 15, /* a number of more may not fit */
+    MAX_FAST_DEPTH = 16,  /* what is nested deeper is left to jansson */
 };
 
 static bool is_blank(char c)
@@ -37,7 +37,7 @@
 /* ---- slices ---- */
 
 /* Behind the quote that closes the string which begins at p. */
-static const char *behind_string(const char *p, const char *end)
+static const char *end_of_string(const char *p, const char *end)
 {
     for (p++; p < end && *p != '"'; p++) {
         if (*p == '\\' && p + 1 < end)
@@ -46,12 +46,12 @@
     return p < end ? p + 1 : end;
 }
 
-static const char *behind_brackets(const char *p, const char *end)
+static const char *end_of_brackets(const char *p, const char *end)
 {
     int depth = 0;
     while (p < end) {
         if (*p == '"') {
-            p = behind_string(p, end);
+            p = end_of_string(p, end);
             continue;
         }
         if (*p == '{' || *p == '[')
@@ -65,7 +65,7 @@
     return p;
 }
 
-static const char *behind_word(const char *p, const char *end)
+static const char *end_of_word(const char *p, const char *end)
 {
     while (p < end && !is_blank(*p) && *p != ',' && *p != ':' && *p != ']' && *p != '}')
         p++;
@@ -78,11 +78,11 @@
     const char *from = at->p;
     char c = from < at->end ? *from : 0;
     if (c == '"')
-        at->p = behind_string(from, at->end);
+        at->p = end_of_string(from, at->end);
     else if (c == '{' || c == '[')
-        at->p = behind_brackets(from, at->end);
+        at->p = end_of_brackets(from, at->end);
     else
-        at->p = behind_word(from, at->end);
+        at->p = end_of_word(from, at->end);
     return (struct sr_str){from, (size_t)(at->p - from)};
 }
 
@@ -94,7 +94,7 @@
 /* ---- objects of plain members ---- */
 
 /* Printable ASCII without an escape. */
-static bool plain_text(struct js_at *at, struct sr_str *out)
+static bool parse_simple_string(struct js_at *at, struct sr_str *out)
 {
     if (!js_mark(at, '"'))
         return false;
@@ -113,14 +113,14 @@
     return c >= '0' && c <= '9';
 }
 
-static bool plain_whole(struct js_at *at, struct js_value *v)
+static bool parse_simple_integer(struct js_at *at, struct js_value *v)
 {
     const char *p = at->p;
-    bool below = p < at->end && *p == '-';
-    p += below;
+    bool negative = p < at->end && *p == '-';
+    p += negative;
     const char *first = p;
     int64_t n = 0;
-    while (p < at->end && is_digit(*p) && p - first < PLAIN_DIGITS)
+    while (p < at->end && is_digit(*p) && p - first < MAX_FAST_DIGITS)
         n = n * 10 + (*p++ - '0');
     if (p == first || p == at->end)
         return false;
@@ -129,12 +129,12 @@
         return false;
     at->p = p;
     v->kind = JS_WHOLE;
-    v->whole = below ? -n : n;
+    v->whole = negative ? -n : n;
     v->real = (double)v->whole;
     return true;
 }
 
-static bool word(struct js_at *at, struct sr_str w)
+static bool accept_word(struct js_at *at, struct sr_str w)
 {
     if ((size_t)(at->end - at->p) < w.len || memcmp(at->p, w.p, w.len) != 0)
         return false;
@@ -142,22 +142,22 @@
     return true;
 }
 
-static bool plain_value(struct js_at *at, struct js_value *v)
+static bool parse_simple_value(struct js_at *at, struct js_value *v)
 {
     *v = (struct js_value){0};
     skip_blanks(at);
     if (at->p < at->end && *at->p == '"') {
         v->kind = JS_TEXT;
-        return plain_text(at, &v->text);
+        return parse_simple_string(at, &v->text);
     }
-    if (word(at, SR_LIT("true")))
+    if (accept_word(at, SR_LIT("true")))
         v->kind = JS_TRUE;
-    else if (word(at, SR_LIT("false")))
+    else if (accept_word(at, SR_LIT("false")))
         v->kind = JS_FALSE;
-    else if (word(at, SR_LIT("null")))
+    else if (accept_word(at, SR_LIT("null")))
         v->kind = JS_OTHER;
     else
-        return plain_whole(at, v);
+        return parse_simple_integer(at, v);
     return true;
 }
 
@@ -170,7 +170,7 @@
     return true;
 }
 
-static bool plain_object(struct js_at *at, struct js_object *o)
+static bool parse_simple_object(struct js_at *at, struct js_object *o)
 {
     if (!js_mark(at, '{'))
         return false;
@@ -178,8 +178,8 @@
         return true;
     do {
         struct sr_str key;
-        if (o->n == JS_FIELDS || !plain_text(at, &key) || !is_new(o, key) ||
-            !js_mark(at, ':') || !plain_value(at, &o->values[o->n]))
+        if (o->n == JS_FIELDS || !parse_simple_string(at, &key) || !is_new(o, key) ||
+            !js_mark(at, ':') || !parse_simple_value(at, &o->values[o->n]))
             return false;
         o->keys[o->n++] = key;
     } while (js_mark(at, ','));
@@ -191,7 +191,7 @@
     struct js_at from = *at;
     o->n = 0;
     o->tree = NULL;
-    if (plain_object(at, o))
+    if (parse_simple_object(at, o))
         return true;
     *at = from;
     o->n = 0;
@@ -205,7 +205,7 @@
     o->tree = NULL;
 }
 
-static struct js_value of_tree(const json_t *j)
+static struct js_value value_from_tree(const json_t *j)
 {
     struct js_value v = {.kind = j ? JS_OTHER : JS_NONE, .real = json_number_value(j)};
     if (json_is_string(j)) {
@@ -229,7 +229,7 @@
         if (sr_eq(o->keys[i], k))
             return o->values[i];
     }
-    return of_tree(json_object_get(o->tree, key));
+    return value_from_tree(json_object_get(o->tree, key));
 }
 
 /* ---- trees ---- */
@@ -326,9 +326,9 @@
     char c = at->p < at->end ? *at->p : 0;
     if (c == '"')
         return load_string(at);
-    if (depth < OWN_DEPTH && js_mark(at, '['))
+    if (depth < MAX_FAST_DEPTH && js_mark(at, '['))
         return load_array(at, depth + 1);
-    if (depth < OWN_DEPTH && js_mark(at, '{'))
+    if (depth < MAX_FAST_DEPTH && js_mark(at, '{'))
         return load_object(at, depth + 1);
     struct sr_str s = js_slice(at);
     return json_loadb(s.p, s.len, JSON_DECODE_ANY, NULL);
--- a/misc/log.c
+++ b/misc/log.c
@@ -26,7 +26,7 @@
     struct {
         char prefix[24];
         enum lg_level level;
-    } over[MAX_OVERRIDES];
+    } overrides[MAX_OVERRIDES];
 } setup = {.level = LG_INFO};
 
 static bool parse_level(struct sr_str s, enum lg_level *out)
@@ -40,7 +40,7 @@
     return false;
 }
 
-static bool parse_part(struct sr_str part)
+static bool parse_spec_item(struct sr_str part)
 {
     const char *eq = memchr(part.p, '=', part.len);
     if (!eq)
@@ -49,9 +49,9 @@
     struct sr_str level = {eq + 1, part.len - name.len - 1};
     if (setup.n == MAX_OVERRIDES)
         return false;
-    if (!sr_copy(setup.over[setup.n].prefix, sizeof(setup.over[0].prefix), name))
+    if (!sr_copy(setup.overrides[setup.n].prefix, sizeof(setup.overrides[0].prefix), name))
         return false;
-    if (!parse_level(level, &setup.over[setup.n].level))
+    if (!parse_level(level, &setup.overrides[setup.n].level))
         return false;
     setup.n++;
     return true;
@@ -69,7 +69,7 @@
     snprintf(setup.node, sizeof(setup.node), "%s", node);
     while (*spec) {
         size_t n = strcspn(spec, ",");
-        if (!parse_part((struct sr_str){spec, n}))
+        if (!parse_spec_item((struct sr_str){spec, n}))
             return false;
         spec += n;
         if (*spec == ',')
@@ -81,17 +81,17 @@
 bool lg_enabled(const struct lg_log *log, enum lg_level level)
 {
     for (int i = 0; i < setup.n; i++) {
-        if (strcmp(setup.over[i].prefix, log->prefix) == 0)
-            return level <= setup.over[i].level;
+        if (strcmp(setup.overrides[i].prefix, log->prefix) == 0)
+            return level <= setup.overrides[i].level;
     }
     return level <= setup.level;
 }
 
-static unsigned long left_out;
+static unsigned long dropped_lines;
 
 unsigned long lg_left_out(void)
 {
-    return left_out;
+    return dropped_lines;
 }
 
 /* A whole line or none: pipes take lines of this length at once. A reader that stopped reading
@@ -105,15 +105,15 @@
     line[n] = '\n';
     ssize_t w = write(setup.json ? STDOUT_FILENO : STDERR_FILENO, line, n + 1);
     if (w != (ssize_t)n + 1)
-        left_out++;
+        dropped_lines++;
 }
 
 static json_t *line_head(const struct lg_log *log, enum lg_level level)
 {
     json_t *o = json_pack("{s:I,s:s,s:s,s:s}", "ts_ms", (json_int_t)ck_wall_ms(), "node",
                           setup.node, "level", level_names[level], "module", log->prefix);
-    if (o && left_out)
-        json_object_set_new(o, "left_out", json_integer((json_int_t)left_out));
+    if (o && dropped_lines)
+        json_object_set_new(o, "left_out", json_integer((json_int_t)dropped_lines));
     return o;
 }
 
@@ -144,7 +144,7 @@
 }
 
 /* Whether a field is a sentence, which goes to the line's end. */
-static bool is_sentence(const char *key)
+static bool extends_to_end(const char *key)
 {
     return strcmp(key, "detail") == 0 || strcmp(key, "why") == 0 || strcmp(key, "outcome") == 0;
 }
@@ -158,7 +158,7 @@
         const char *value = text[n] ? text + n + 1 : text + n;
         if (!sr_copy(key, sizeof(key), (struct sr_str){text, n}))
             return;
-        size_t len = is_sentence(key) ? strlen(value) : strcspn(value, " ");
+        size_t len = extends_to_end(key) ? strlen(value) : strcspn(value, " ");
         json_object_set_new(o, key, json_stringn(value, len));
         text = value + len;
         text += *text == ' ';
--- a/misc/pack.c
+++ b/misc/pack.c
@@ -5,25 +5,26 @@
 #include <zlib.h>
 
 enum {
-    PACK_ABOVE = 1024, /* bytes; below, deflating costs more than the bytes */
-    HEADER = 5,        /* a NUL, the text's length (little-endian) */
+    MAX_PLAIN_BYTES = 1024, /* bytes; below, deflating costs more than the bytes */
+    HEADER_BYTES = 5,       /* a NUL, the text's length (little-endian) */
 };
 
 void pk_pack(struct sr_str text, struct sr_buf *out)
 {
-    if (text.len <= PACK_ABOVE) {
+    if (text.len <= MAX_PLAIN_BYTES) {
         sr_buf_add(out, text.p, text.len);
         return;
     }
     uLongf len = compressBound(text.len);
-    Bytef *p = sr_alloc(HEADER + len);
-    if (compress2(p + HEADER, &len, (const Bytef *)text.p, text.len, Z_BEST_SPEED) != Z_OK)
+    Bytef *p = sr_alloc(HEADER_BYTES + len);
+    if (compress2(p + HEADER_BYTES, &len, (const Bytef *)text.p, text.len, Z_BEST_SPEED) !=
+        Z_OK)
         abort(); /* out of memory: the room is enough */
     p[0] = 0;
-    for (int i = 1; i < HEADER; i++)
+    for (int i = 1; i < HEADER_BYTES; i++)
         p[i] = (Bytef)(text.len >> (8 * (i - 1)));
-    if (HEADER + len < text.len)
-        sr_buf_add(out, p, HEADER + len);
+    if (HEADER_BYTES + len < text.len)
+        sr_buf_add(out, p, HEADER_BYTES + len);
     else
         sr_buf_add(out, text.p, text.len);
     free(p);
@@ -35,16 +36,16 @@
         sr_buf_add(out, s.p, s.len);
         return true;
     }
-    if (s.len < HEADER)
+    if (s.len < HEADER_BYTES)
         return er_set(err, ER_CORRUPT, "%zu bytes of a deflated text", s.len);
     uLongf len = 0;
-    for (int i = HEADER - 1; i > 0; i--)
+    for (int i = HEADER_BYTES - 1; i > 0; i--)
         len = len << 8 | (unsigned char)s.p[i];
     if (len > max)
         return er_set(err, ER_TOO_LARGE, "%lu bytes deflated, expected at most %zu", len, max);
     Bytef *p = sr_alloc(len + 1);
     uLongf got = len;
-    int rc = uncompress(p, &got, (const Bytef *)s.p + HEADER, s.len - HEADER);
+    int rc = uncompress(p, &got, (const Bytef *)s.p + HEADER_BYTES, s.len - HEADER_BYTES);
     bool ok = rc == Z_OK && got == len;
     if (ok)
         sr_buf_add(out, p, len);
