--- a/misc/clock.h
+++ b/misc/clock.h
@@ -1,17 +1,18 @@
-/* The runtime's clock. Daemons use the system's; tests pause it and advance it.
- * Modules that decide never read it: they are given the time. */
+/* The process's clock. Daemons use the system clock; tests pause it and advance it by hand.
+ * Decision modules never read the clock; their callers pass the time. */
 #ifndef FL_MISC_CLOCK_H
 #define FL_MISC_CLOCK_H
 
 #include <stdint.h>
 
-/* Monotonic microseconds, or the paused value. */
+/* Monotonic time in microseconds, or the paused value. */
 int64_t ck_now(void);
 
-/* Wall-clock milliseconds since 1970, or the paused value. For stamps only. */
+/* Wall-clock milliseconds since 1970, or the paused value. Only for timestamps. */
 int64_t ck_wall_ms(void);
 
-/* Stop both clocks at `us`; ck_advance moves them. ck_resume gives the system's back. */
+/* Stop both clocks at `us`. ck_advance moves the stopped clocks forward, and ck_resume returns
+ * to the system clock. */
 void ck_pause(int64_t us);
 void ck_advance(int64_t us);
 void ck_resume(void);
@@ -24,11 +25,12 @@
     uint64_t last;
 };
 
-/* Stamp of a local event. */
+/* Returns the timestamp for a local event, greater than all earlier ones. */
 uint64_t ck_hlc_now(struct ck_hlc *h);
 
-/* A stamp came in a message: later local stamps are above it. A stamp from more than a
- * minute ahead is ignored, so that one bad clock does not drag the others. */
+/* Takes the timestamp of a received message into account: later local timestamps are greater. A
+ * timestamp more than a minute ahead is ignored, so that one wrong clock does not advance the
+ * others. */
 void ck_hlc_seen(struct ck_hlc *h, uint64_t stamp);
 
 static inline int64_t ck_hlc_ms(uint64_t stamp)
--- a/misc/hist.h
+++ b/misc/hist.h
@@ -1,4 +1,5 @@
-/* Log-linear histogram of microseconds: 16 steps per power of two, error under 6.25%. */
+/* Log-linear histogram of durations in microseconds: 16 buckets per power of two, so the
+ * relative error is under 6.25%. */
 #ifndef FL_MISC_HIST_H
 #define FL_MISC_HIST_H
 
--- a/misc/index.c
+++ b/misc/index.c
@@ -16,7 +16,7 @@
     return (int)(XXH64(name, strlen(name), 0) % (uint64_t)ix->cap);
 }
 
-/* Where the name is, or the free slot where it would go. */
+/* Returns the slot of the name, or the free slot in which to insert it. */
 static int find(const struct ix_index *ix, const char *name)
 {
     int at = home_slot(ix, name);
@@ -66,7 +66,7 @@
     if (!ix->slots[hole].name[0])
         return;
     ix->n--;
-    /* What lies behind moves up if its way to its slot leads through the hole. */
+    /* Move a later entry into the free slot if its probe sequence passes that slot. */
     for (int at = (hole + 1) % ix->cap; ix->slots[at].name[0]; at = (at + 1) % ix->cap) {
         int home = home_slot(ix, ix->slots[at].name);
         int from_home = (at - home + ix->cap) % ix->cap;
--- a/misc/json.c
+++ b/misc/json.c
@@ -4,8 +4,8 @@
 #include <string.h>
 
 enum {
-    MAX_FAST_DIGITS = 15, /* a number of more may not fit */
-    MAX_FAST_DEPTH = 16,  /* what is nested deeper is left to jansson */
+    MAX_FAST_DIGITS = 15, /* longer integers are parsed by jansson, as they may overflow */
+    MAX_FAST_DEPTH = 16,  /* more deeply nested values are parsed by jansson */
 };
 
 static bool is_blank(char c)
@@ -36,7 +36,7 @@
 
 /* ---- slices ---- */
 
-/* Behind the quote that closes the string which begins at p. */
+/* Returns the position after the closing quote of the string that starts at p. */
 static const char *end_of_string(const char *p, const char *end)
 {
     for (p++; p < end && *p != '"'; p++) {
@@ -91,9 +91,9 @@
     return json_loadb(text.p, text.len, JSON_DECODE_ANY | JSON_REJECT_DUPLICATES, NULL);
 }
 
-/* ---- objects of plain members ---- */
+/* ---- simple objects ---- */
 
-/* Printable ASCII without an escape. */
+/* Parses a string of printable ASCII characters without escapes. */
 static bool parse_simple_string(struct js_at *at, struct sr_str *out)
 {
     if (!js_mark(at, '"'))
@@ -236,7 +236,8 @@
 
 static json_t *load(struct js_at *at, int depth);
 
-/* The character that an escape stands for; 0: left to jansson. */
+/* Returns the character that the escape `c` represents, or 0 for an escape that jansson must
+ * parse. */
 static char escaped(char c)
 {
     static const char from[] = "\"\\/bfnrt", to[] = "\"\\/\b\f\n\r\t";
@@ -244,7 +245,8 @@
     return at ? to[at - from] : 0;
 }
 
-/* The string without its escapes, to `out`, which has room for all of it. */
+/* Writes the string with its escapes resolved to `out`, which must hold s.len bytes. Returns
+ * false if jansson must parse the string. */
 static bool unescape(struct sr_str s, char *out, size_t *len)
 {
     const char *p = s.p, *end = s.p + s.len;
--- a/misc/json.h
+++ b/misc/json.h
@@ -1,8 +1,9 @@
-/* Large JSON texts, read in place.
+/* A fast reader for large JSON texts that works in place.
  *
- * jansson looks at every byte several times and makes a tree of all of them. What is plain is
- * read here; what is not (an escape, another number, a value in an unexpected place) is left to
- * jansson, part by part, so that the same texts are accepted. */
+ * jansson reads each byte several times and builds a tree of the whole text. This module parses
+ * the simple parts itself. Other parts (strings with escapes, numbers other than short
+ * integers, values in unexpected places) are passed to jansson one by one, so that the same
+ * texts are accepted. */
 #ifndef FL_MISC_JSON_H
 #define FL_MISC_JSON_H
 
@@ -13,7 +14,7 @@
 
 #include "misc/str.h"
 
-/* Where a reader stands in a text that somebody else owns. */
+/* The read position in a text, which the caller owns. */
 struct js_at {
     const char *p, *end;
 };
@@ -22,14 +23,14 @@
 
 struct js_value {
     enum js_kind kind;
-    struct sr_str text; /* JS_TEXT; lives as long as the object and the text it was read from */
+    struct sr_str text; /* JS_TEXT; valid while the object and the parsed text exist */
     int64_t whole;      /* JS_WHOLE */
     double real;        /* JS_WHOLE, JS_REAL */
 };
 
-enum { JS_FIELDS = 24 }; /* an object of more is left to jansson */
+enum { JS_FIELDS = 24 }; /* an object with more members is parsed by jansson */
 
-/* An object's members: the first n in `keys`, or all of them in `tree`. */
+/* The members of an object, either the first n items of `keys` and `values`, or `tree`. */
 struct js_object {
     int n;
     struct sr_str keys[JS_FIELDS];
@@ -37,22 +38,24 @@
     json_t *tree;
 };
 
-/* Take the mark if it comes next; blanks before it are skipped. */
+/* Skip whitespace and consume the next character if it is `mark`. Returns whether it was. */
 bool js_mark(struct js_at *at, char mark);
-/* Whether only blanks are left. */
+/* Skip whitespace and return whether the end of the text is reached. */
 bool js_ends(struct js_at *at);
-/* The next value's text, found by its brackets and quotes: nothing in it is checked. */
+/* Returns the text of the next value. The end is found by matching brackets and quotes; the
+ * value is not validated. */
 struct sr_str js_slice(struct js_at *at);
-/* A value's text as a tree, NULL if it is none; an object with the same key twice is none. */
+/* Parse the text of a value into a tree. Returns NULL if it is invalid JSON or if an object has
+ * a duplicate key. */
 json_t *js_tree(struct sr_str text);
 
-/* The next value, which must be an object; no key may come twice. False if it is not; *o is to
- * be freed either way. */
+/* Parse the next value, which must be an object without duplicate keys. Returns false if it is
+ * not. *o must be freed with js_object_free in both cases. */
 bool js_object(struct js_at *at, struct js_object *o);
 void js_object_free(struct js_object *o);
 struct js_value js_get(const struct js_object *o, const char *key);
 
-/* What json_loadb makes of it without flags, for texts with long strings. */
+/* Equivalent to json_loadb without flags, but faster for texts with long strings. */
 json_t *js_load(struct sr_str text);
 
 #endif
--- a/misc/log.c
+++ b/misc/log.c
@@ -13,7 +13,7 @@
 #include "misc/str.h"
 
 #define MAX_OVERRIDES 8
-#define LINE_BYTES 2048 /* below what a pipe takes at once */
+#define LINE_BYTES 2048 /* less than PIPE_BUF (4096), so that a pipe write is atomic */
 
 static const char *const level_names[] = {"fatal",   "error", "warn", "info",
                                           "verbose", "debug", "trace"};
@@ -94,9 +94,9 @@
     return dropped_lines;
 }
 
-/* A whole line or none: pipes take lines of this length at once. A reader that stopped reading
- * must not stall the process; what it misses is counted, and said with the next line that gets
- * through. */
+/* Writes a whole line or nothing, as a pipe write of up to LINE_BYTES is atomic. A reader that
+ * stops reading must not block the process, so lines that can't be written are dropped and
+ * counted. In JSON the following lines contain the count. */
 static void put_line(const char *text, size_t len)
 {
     char line[LINE_BYTES];
@@ -143,13 +143,13 @@
     put_line(line, n < (int)sizeof(line) ? (size_t)n : sizeof(line) - 1);
 }
 
-/* Whether a field is a sentence, which goes to the line's end. */
+/* Whether the value of a field may contain spaces and extends to the end of the line. */
 static bool extends_to_end(const char *key)
 {
     return strcmp(key, "detail") == 0 || strcmp(key, "why") == 0 || strcmp(key, "outcome") == 0;
 }
 
-/* "key=value key=value ... detail=to the end" */
+/* Adds the fields of "key=value key=value ... detail=text up to the end of the line". */
 static void add_fields(json_t *o, const char *text)
 {
     while (*text) {
--- a/misc/log.h
+++ b/misc/log.h
@@ -1,4 +1,5 @@
-/* A small logger. Each object carries a `struct lg_log` with its prefix. */
+/* The logger. Each module has a `struct lg_log` with its prefix. Text lines go to stderr, JSON
+ * lines to stdout. */
 #ifndef FL_MISC_LOG_H
 #define FL_MISC_LOG_H
 
@@ -10,21 +11,23 @@
     const char *prefix; /* names the module; static storage */
 };
 
-/* Once at start. `spec` is "info" or "info,quorum=debug,entry=trace"; unknown level: false. */
+/* Configure the logger at startup. `spec` is a level with optional levels per prefix, such as
+ * "info" or "info,quorum=debug,entry=trace". Returns false if `spec` is invalid. */
 bool lg_setup(const char *node, const char *spec, bool json);
 
 /* Whether lines of this level are written. */
 bool lg_enabled(const struct lg_log *log, enum lg_level level);
-/* A line of text. Callers use the macros below, which check the level first. */
+/* Write a line of text. Callers use the macros below, which check the level first. */
 void lg_write(const struct lg_log *log, enum lg_level level, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
 
-/* A line with a name from a closed list (docs/LOGS.md) and fields. `fmt` gives the fields as
- * "key=value key=value"; values have no blanks, but for detail, why and outcome, which come
- * last and go to the end. In JSON each is a field. */
+/* Write an event with its fields. The event names are listed in docs/LOGS.md. `fmt` gives the
+ * fields as "key=value key=value". Values contain no spaces, except those of detail, why and
+ * outcome, which must be last and extend to the end of the line. In JSON each field is a
+ * member. */
 void lg_event(const struct lg_log *log, enum lg_level level, const char *event, const char *fmt,
               ...) __attribute__((format(printf, 4, 5)));
-/* Lines that could not be written because nobody read them. */
+/* Number of lines dropped because the reader of the log did not keep up. */
 unsigned long lg_left_out(void);
 
 #define LG_MSG(log, level, ...)                                                                \
--- a/misc/pack.c
+++ b/misc/pack.c
@@ -5,8 +5,8 @@
 #include <zlib.h>
 
 enum {
-    MAX_PLAIN_BYTES = 1024, /* bytes; below, deflating costs more than the bytes */
-    HEADER_BYTES = 5,       /* a NUL, the text's length (little-endian) */
+    MAX_PLAIN_BYTES = 1024, /* up to this size, compression costs more than it saves */
+    HEADER_BYTES = 5, /* a NUL byte, then the length of the text (4 bytes, little-endian) */
 };
 
 void pk_pack(struct sr_str text, struct sr_buf *out)
@@ -19,7 +19,7 @@
     Bytef *p = sr_alloc(HEADER_BYTES + len);
     if (compress2(p + HEADER_BYTES, &len, (const Bytef *)text.p, text.len, Z_BEST_SPEED) !=
         Z_OK)
-        abort(); /* out of memory: the room is enough */
+        abort(); /* out of memory, as the output buffer is large enough */
     p[0] = 0;
     for (int i = 1; i < HEADER_BYTES; i++)
         p[i] = (Bytef)(text.len >> (8 * (i - 1)));
@@ -37,12 +37,14 @@
         return true;
     }
     if (s.len < HEADER_BYTES)
-        return er_set(err, ER_CORRUPT, "%zu bytes of a deflated text", s.len);
+        return er_set(err, ER_CORRUPT,
+                      "compressed text has only %zu bytes, less than its header", s.len);
     uLongf len = 0;
     for (int i = HEADER_BYTES - 1; i > 0; i--)
         len = len << 8 | (unsigned char)s.p[i];
     if (len > max)
-        return er_set(err, ER_TOO_LARGE, "%lu bytes deflated, expected at most %zu", len, max);
+        return er_set(err, ER_TOO_LARGE,
+                      "compressed text holds %lu bytes, expected at most %zu", len, max);
     Bytef *p = sr_alloc(len + 1);
     uLongf got = len;
     int rc = uncompress(p, &got, (const Bytef *)s.p + HEADER_BYTES, s.len - HEADER_BYTES);
@@ -50,7 +52,8 @@
     if (ok)
         sr_buf_add(out, p, len);
     else
-        er_set(err, ER_CORRUPT, "a deflated text of %lu bytes can't be read (%d)", len, rc);
+        er_set(err, ER_CORRUPT, "can't decompress a text of %lu bytes (zlib result %d)", len,
+               rc);
     free(p);
     return ok;
 }
--- a/misc/pos.h
+++ b/misc/pos.h
@@ -1,5 +1,6 @@
-/* A place in a group's log: the term that wrote it and the position, which only grows. The
- * unit of pos is the endpoint's own (log bytes, records); it is compared, never computed. */
+/* A position in a group's log: the term in which it was written and an increasing offset. The
+ * endpoint defines the unit of pos (log bytes, records), so values are compared but not used in
+ * arithmetic. */
 #ifndef FL_MISC_POS_H
 #define FL_MISC_POS_H
 
@@ -22,15 +23,15 @@
     return ps_cmp(a, b) >= 0 ? a : b;
 }
 
-/* Where a term began: every position above `pos` of that branch belongs to it. */
+/* The start of a term: every position above `pos` on this branch of the log belongs to it. */
 struct ps_start {
     uint64_t term, pos;
 };
 
-/* Whether a replica that has applied `applied` holds all that `floor` names.
- * `starts` are the group's term starts, ascending. A replica of a later term covers the floor
- * if the floor lies at or before the start of the first term after the floor's; a replica of
- * an earlier term never does. */
+/* Whether a replica whose last applied position is `applied` has every write up to `floor`.
+ * `starts` are the group's term starts in ascending order. A replica of a later term covers the
+ * floor if the floor is at or before the start of the first term after the floor's term. A
+ * replica of an earlier term never covers the floor. */
 bool ps_covers(struct ps_pos applied, struct ps_pos floor, const struct ps_start *starts,
                int n);
 
--- a/misc/rng.h
+++ b/misc/rng.h
@@ -1,4 +1,5 @@
-/* Seeded pseudo-random numbers (xorshift64*), passed in by whoever needs repeatability. */
+/* A seeded pseudo-random number generator (xorshift64*). The caller provides the generator, so
+ * that runs can be repeated. */
 #ifndef FL_MISC_RNG_H
 #define FL_MISC_RNG_H
 
@@ -21,7 +22,7 @@
     return r->s * 0x2545F4914F6CDD1Dull;
 }
 
-/* Uniform enough in 0..n-1; n > 0. */
+/* A nearly uniform number in 0..n-1; n must be greater than 0. */
 static inline uint64_t rn_below(struct rn_rng *r, uint64_t n)
 {
     return (rn_next(r) >> 11) % n;
--- a/misc/str.h
+++ b/misc/str.h
@@ -7,7 +7,7 @@
 #include <stdint.h>
 #include <string.h>
 
-/* A view of bytes that somebody else owns; need not end in NUL. */
+/* A non-owning view of bytes, which need not be NUL-terminated. */
 struct sr_str {
     const char *p;
     size_t len;
@@ -25,20 +25,22 @@
     return a.len == b.len && memcmp(a.p, b.p, a.len) == 0;
 }
 
-/* Copy into a fixed field with a closing NUL. False if it does not fit. */
+/* Copy into a fixed-size field and add a NUL. Returns false if `s` does not fit. */
 bool sr_copy(char *dst, size_t cap, struct sr_str s);
 
-/* A buffer that its holder owns; zero-initialised is empty. */
+/* A growable buffer; a zero-initialized one is empty. Additions keep a NUL after the `len`
+ * bytes. */
 struct sr_buf {
     char *p;
     size_t len, cap;
 };
 
-/* Allocation failure aborts: a node that can't allocate a few KB has nothing to offer. */
+/* sr_alloc returns zeroed memory. An allocation failure aborts the process, because a node that
+ * can't allocate a few KB can't serve requests. */
 void *sr_alloc(size_t n);
 void *sr_realloc(void *p, size_t n);
-/* memcpy() for `n` bytes of which there may be none: an empty text may have no address, and
- * memcpy() asks for one. */
+/* memcpy() for which `n` may be 0. An empty string may have a NULL pointer, which memcpy() does
+ * not allow. */
 static inline void sr_move(void *dst, const void *src, size_t n)
 {
     if (n)
--- a/task/net_priv.h
+++ b/task/net_priv.h
@@ -31,11 +31,11 @@
     bool opened, refused, closing, hard, dead;
     struct out *head, **tail;
     size_t queued;
-    size_t dropped;             /* bytes that came while it was being closed */
-    struct nt_traffic *traffic; /* NULL: not metered */
-    struct sr_buf in;
-    int64_t connect_started;         /* of connecting */
-    struct nt_timer connect_failure; /* delivers a failed connect from the loop */
+    size_t dropped;             /* bytes received while closing, which were discarded */
+    struct nt_traffic *traffic; /* NULL if nt_meter was not called */
+    struct sr_buf in;        /* bytes received but not delivered; HTTP client: body to send */
+    int64_t connect_started; /* ck_now() time */
+    struct nt_timer connect_failure; /* reports a failed connect from the loop */
     /* plain HTTP */
     char path[256], query[512], method[8];
     struct sr_buf body;
@@ -54,16 +54,16 @@
     struct nt_listen what;
     struct lws_vhost *vh;
     char ip[64];
-    bool refuse_new; /* whoever comes now */
-    int n_http;      /* plain HTTP connections */
-    struct nt_conn *oldest, *newest;
+    bool refuse_new;                 /* close new connections before their handshake */
+    int n_http;                      /* open plain HTTP connections */
+    struct nt_conn *oldest, *newest; /* HTTP connections by last request or reply */
     struct nt_listener *next;
 };
 
 struct nt_loop {
-    uv_loop_t uv; /* epoll below; lws's own poll() costs more the more sockets are idle */
+    uv_loop_t uv; /* uses epoll; the cost of poll() in lws grows with the idle sockets */
     uv_prepare_t before_poll;
-    int64_t received_until;
+    int64_t received_until; /* returned by nt_received_until */
     struct lws_context *ctx;
     struct lws_vhost *client_vh;
     bool stop;
--- a/task/redial.h
+++ b/task/redial.h
@@ -24,7 +24,7 @@
 
 struct rd_state {
     int64_t next_try, connect_started; /* ck_now() times */
-    int unanswered;                    /* connects since one was answered */
+    int unanswered;                    /* connects abandoned since the last successful one */
     bool peer_connected; /* the peer has connected to this process since the last connect */
 };
 
