--- a/settings/settings.c
+++ b/settings/settings.c
@@ -1,3 +1,4 @@
+/* Parsing, validation and printing of the settings. */
 #include "settings/settings.h"
 
 #include "settings/table.h"
@@ -33,7 +34,7 @@
     return (char *)s + o->offset;
 }
 
-/* ---- one value ---- */
+/* ---- setting one value ---- */
 
 static bool set_text(const struct parse_context *c, const struct st_option *o, void *f,
                      const json_t *v)
@@ -126,7 +127,7 @@
     return true;
 }
 
-/* "ip:port", or "" for none. */
+/* Reads "ip:port"; "" leaves the address empty. */
 static bool set_addr(const struct parse_context *c, const char *key, struct st_addr *a,
                      const json_t *v)
 {
@@ -158,7 +159,8 @@
     return true;
 }
 
-/* A number, perhaps with a fraction, kept in whole thousandths: seconds as milliseconds. */
+/* Reads a number that may have a fraction and stores it in whole thousandths, for example
+ * seconds as milliseconds. */
 static bool set_milli(const struct parse_context *c, const struct st_option *o, void *f,
                       const json_t *v)
 {
@@ -207,7 +209,7 @@
     return false;
 }
 
-/* ---- the whole file ---- */
+/* ---- reading the file ---- */
 
 static const json_t *lookup(const json_t *root, const char *key)
 {
@@ -267,7 +269,8 @@
 static bool check_combinations(const struct parse_context *c, const struct st_settings *s)
 {
     if (s->n_voters < 1)
-        return reject_setting(c, "control.voters", "is empty, expected the control nodes");
+        return reject_setting(c, "control.voters",
+                              "the list is empty, expected at least one control node");
     if (s->control && !s->data[0])
         return reject_setting(c, "control.data", "missing, expected with role control");
     if (s->control && s->ops_port == s->control_port && s->control_ip[0])
@@ -311,8 +314,9 @@
     *port = a->port;
 }
 
-/* Addresses take the place of ip and port; seeds that of the list of control nodes: a control
- * node is named by its IP number, and our own port is the same on all. */
+/* Sets what follows from other settings. Addresses replace ip and port, and the seeds replace
+ * the list of control nodes. A seed gives no name and no port for other processes, so the node
+ * is named after its IP number, and control.port must be the same on all control nodes. */
 static void apply_derived(struct st_settings *s)
 {
     override_addr(&s->entry_addr, s->entry_ip, sizeof(s->entry_ip), &s->entry_port);
@@ -393,7 +397,7 @@
     s->groups = NULL;
 }
 
-/* ---- showing ---- */
+/* ---- printing ---- */
 
 static json_t *peers_json(const struct st_settings *s)
 {
@@ -473,9 +477,9 @@
 
 void st_reference(struct sr_buf *out)
 {
-    sr_buf_printf(out, "# Settings of ferryd\n\nMade from the option table in "
-                       "settings/settings.c by `ferryd --help-settings`.\n\n"
-                       "| key | type | range | unit | default | what it is |\n"
+    sr_buf_printf(out, "# Settings of ferryd\n\nGenerated from the option table in "
+                       "settings/table.c by `ferryd --help-settings`.\n\n"
+                       "| key | type | range | unit | default | description |\n"
                        "| --- | --- | --- | --- | --- | --- |\n");
     for (int i = 0; i < st_n_options; i++) {
         const struct st_option *o = &st_table[i];
