--- a/ferryd/main.c
+++ b/ferryd/main.c
@@ -11,9 +11,9 @@
 #include "entry/entry.h"
 #include "platform/platform.h"
 
-enum { EXIT_USAGE_ = 64, EXIT_CONFIG_ = 78, EXIT_DISK_ = 74, EXIT_START_ = 71 };
-enum { O_CHECK = 1000, O_PRINT, O_BOOTSTRAP, O_REFERENCE };
-enum { FDS_SPARE = 512, LOOK_US = 20000, LOOKS_A_FILE = 50 };
+enum { STATUS_USAGE = 64, STATUS_CONFIG = 78, STATUS_DISK = 74, STATUS_START = 71 };
+enum { OPT_CHECK = 1000, OPT_PRINT, OPT_BOOTSTRAP, OPT_REFERENCE };
+enum { SPARE_FDS = 512, POLL_INTERVAL_US = 20000, POLLS_PER_FILE_CHECK = 50 };
 
 const char *argp_program_version = "ferryd 0.1";
 
@@ -31,36 +31,36 @@
     int status;
     struct st_settings *s;
     const char *path; /* of the settings */
-    struct timespec changed;
-    unsigned looks;
+    struct timespec settings_mtime;
+    unsigned polls;
 };
 
 static const struct argp_option options[] = {
     {"config", 'c', "FILE", 0, "settings, JSON (docs/SETTINGS.md)", 0},
-    {"check-config", O_CHECK, NULL, 0, "check the settings and exit", 0},
-    {"print-config", O_PRINT, NULL, 0, "print the settings in force, secrets hidden", 0},
-    {"help-settings", O_REFERENCE, NULL, 0, "print the reference of all settings", 0},
-    {"bootstrap", O_BOOTSTRAP, NULL, 0,
+    {"check-config", OPT_CHECK, NULL, 0, "check the settings and exit", 0},
+    {"print-config", OPT_PRINT, NULL, 0, "print the settings in force, secrets hidden", 0},
+    {"help-settings", OPT_REFERENCE, NULL, 0, "print the reference of all settings", 0},
+    {"bootstrap", OPT_BOOTSTRAP, NULL, 0,
      "found a new cluster: only at the very first start of its first voters", 0},
     {0}};
 
-static error_t parse(int key, char *arg, struct argp_state *st)
+static error_t parse_option(int key, char *arg, struct argp_state *st)
 {
     struct args *a = st->input;
     switch (key) {
     case 'c':
         a->config = arg;
         return 0;
-    case O_CHECK:
+    case OPT_CHECK:
         a->check = true;
         return 0;
-    case O_PRINT:
+    case OPT_PRINT:
         a->print = true;
         return 0;
-    case O_REFERENCE:
+    case OPT_REFERENCE:
         a->reference = true;
         return 0;
-    case O_BOOTSTRAP:
+    case OPT_BOOTSTRAP:
         a->bootstrap = true;
         return 0;
     case ARGP_KEY_END:
@@ -74,9 +74,9 @@
     }
 }
 
-static struct daemon *the_daemon;
+static struct daemon *signaled_daemon;
 
-static void maybe_end(struct daemon *d)
+static void stop_loop_if_done(struct daemon *d)
 {
     if (d->entry_done && d->control_done)
         nt_stop(d->loop);
@@ -87,10 +87,10 @@
     struct daemon *d = ud;
     d->control_done = true;
     if (failed) {
-        d->status = EXIT_DISK_;
+        d->status = STATUS_DISK;
         d->entry_done = true; /* a failed disk ends the process: it must be seen */
     }
-    maybe_end(d);
+    stop_loop_if_done(d);
 }
 
 static void entry_stopped(void *ud)
@@ -100,18 +100,18 @@
     /* The control role goes on until the entry role has finished its callers. */
     if (d->control && !d->control_done)
         ct_stop(d->control);
-    maybe_end(d);
+    stop_loop_if_done(d);
 }
 
-static volatile sig_atomic_t asked_to_stop, asked_to_reload;
+static volatile sig_atomic_t stop_requested, reload_requested;
 
 static void on_signal(int sig)
 {
     if (sig == SIGHUP)
-        asked_to_reload = 1;
+        reload_requested = 1;
     else
-        asked_to_stop = 1;
-    nt_wake(the_daemon->loop);
+        stop_requested = 1;
+    nt_wake(signaled_daemon->loop);
 }
 
 /* ---- settings that change while the daemon runs ---- */
@@ -119,46 +119,46 @@
 /* Where control nodes are is taken over; the rest is used from the next start on. */
 static void reload(struct daemon *d)
 {
-    struct st_settings fresh;
+    struct st_settings new_settings;
     struct er_err err = {0};
-    if (!st_load(d->path, &fresh, &err)) {
+    if (!st_load(d->path, &new_settings, &err)) {
         FL_ERR(&d->log, "the changed settings are not taken: %s", err.text);
         return;
     }
-    memcpy(d->s->voters, fresh.voters, sizeof(fresh.voters));
-    memcpy(d->s->seeds, fresh.seeds, sizeof(fresh.seeds));
-    d->s->n_voters = fresh.n_voters;
-    d->s->n_seeds = fresh.n_seeds;
-    st_free(&fresh);
+    memcpy(d->s->voters, new_settings.voters, sizeof(new_settings.voters));
+    memcpy(d->s->seeds, new_settings.seeds, sizeof(new_settings.seeds));
+    d->s->n_voters = new_settings.n_voters;
+    d->s->n_seeds = new_settings.n_seeds;
+    st_free(&new_settings);
     if (d->entry)
         en_links_seeds(d->entry);
     FL_INFO(&d->log, "settings read again: %d control nodes are named", d->s->n_voters);
 }
 
-static bool file_changed(struct daemon *d)
+static bool settings_file_changed(struct daemon *d)
 {
     struct stat st;
     if (stat(d->path, &st) != 0)
         return false;
-    bool same =
-        st.st_mtim.tv_sec == d->changed.tv_sec && st.st_mtim.tv_nsec == d->changed.tv_nsec;
-    d->changed = st.st_mtim;
+    bool same = st.st_mtim.tv_sec == d->settings_mtime.tv_sec &&
+                st.st_mtim.tv_nsec == d->settings_mtime.tv_nsec;
+    d->settings_mtime = st.st_mtim;
     return !same;
 }
 
 /* Looks for the signal on the loop's own thread. */
-static struct nt_timer stop_timer;
+static struct nt_timer poll_timer;
 
-static void watch_stop(void *ud)
+static void poll_requests(void *ud)
 {
     struct daemon *d = ud;
-    bool look = d->looks++ % LOOKS_A_FILE == 0;
-    if (asked_to_reload || (look && file_changed(d))) {
-        asked_to_reload = 0;
+    bool check_file = d->polls++ % POLLS_PER_FILE_CHECK == 0;
+    if (reload_requested || (check_file && settings_file_changed(d))) {
+        reload_requested = 0;
         reload(d);
     }
-    if (!asked_to_stop) {
-        nt_timer_set(d->loop, &stop_timer, LOOK_US, watch_stop, d);
+    if (!stop_requested) {
+        nt_timer_set(d->loop, &poll_timer, POLL_INTERVAL_US, poll_requests, d);
         return;
     }
     FL_INFO(&d->log, "asked to stop");
@@ -173,11 +173,11 @@
     static struct daemon d = {.log = {"ferryd"}};
     static struct tl_ring tl;
     struct er_err err = {0};
-    the_daemon = &d;
+    signaled_daemon = &d;
     d.s = s;
     d.path = path;
-    file_changed(&d); /* what it is now is in force */
-    int fds = (s->entry ? s->max_callers + 4096 : CT_MAX_CONNS + VW_MAX_GROUPS * 4) + FDS_SPARE;
+    settings_file_changed(&d); /* what it is now is in force */
+    int fds = (s->entry ? s->max_callers + 4096 : CT_MAX_CONNS + VW_MAX_GROUPS * 4) + SPARE_FDS;
     d.loop = nt_loop_create(fds, &err);
     d.entry_done = !s->entry;
     d.control_done = !s->control;
@@ -188,14 +188,14 @@
         d.entry = en_create(d.loop, s, &tl, s->registers ? &pf_entry : NULL, &err);
     if ((s->control && !d.control) || (s->entry && !d.entry)) {
         FL_FATAL(&d.log, "%s", err.text);
-        return err.kind == ER_DISK || err.kind == ER_CORRUPT ? EXIT_DISK_ : EXIT_START_;
+        return err.kind == ER_DISK || err.kind == ER_CORRUPT ? STATUS_DISK : STATUS_START;
     }
     signal(SIGXFSZ,
            SIG_IGN); /* a file over its limit is an error of the write, with a message */
     signal(SIGTERM, on_signal);
     signal(SIGINT, on_signal);
     signal(SIGHUP, on_signal);
-    nt_timer_set(d.loop, &stop_timer, LOOK_US, watch_stop, &d);
+    nt_timer_set(d.loop, &poll_timer, POLL_INTERVAL_US, poll_requests, &d);
     FL_INFO(&d.log, "%s runs, roles%s%s", s->name, s->entry ? " entry" : "",
             s->control ? " control" : "");
     nt_run(d.loop);
@@ -226,24 +226,25 @@
     struct args a = {0};
     struct st_settings s;
     struct er_err err = {0};
-    struct argp argp = {options, parse, NULL, "ferrylanding's daemon.", NULL, NULL, NULL};
-    argp_err_exit_status = EXIT_USAGE_;
+    struct argp argp = {options, parse_option, NULL, "ferrylanding's daemon.",
+                        NULL,    NULL,         NULL};
+    argp_err_exit_status = STATUS_USAGE;
     argp_parse(&argp, argc, argv, 0, NULL, &a);
     if (a.reference) {
         print_reference();
         return 0;
     }
     if (sodium_init() < 0)
-        return EXIT_START_;
+        return STATUS_START;
     if (!st_load(a.config, &s, &err)) {
         fprintf(stderr, "ferryd: %s\n", err.text);
-        return EXIT_CONFIG_;
+        return STATUS_CONFIG;
     }
     if (!lg_setup(s.name, s.log_level, s.log_json)) {
         fprintf(stderr,
                 "ferryd: %s: log.level: \"%s\", expected a level or module=level list\n",
                 a.config, s.log_level);
-        return EXIT_CONFIG_;
+        return STATUS_CONFIG;
     }
     if (a.print)
         print_config(&s);
