--- a/control/control.h
+++ b/control/control.h
@@ -200,10 +200,10 @@
     struct ct_group **groups;
     struct ix_index group_index, inst_index; /* number in `groups` by group, by instance */
     unsigned ticks;
-    int next_group;         /* group that the next tick begins with; -1: the first */
-    int conn_changes_left;         /* connections to instances that this tick may make or close */
-    struct vp_batch unsent_changes;   /* instances that came or go, not told to entry nodes yet */
-    struct vp_limiter pace;           /* of views to entry nodes; a new leader begins anew */
+    int next_group;        /* group that the next tick begins with; -1: the first */
+    int conn_changes_left; /* connections to instances that this tick may make or close */
+    struct vp_batch unsent_changes; /* instances that came or go, not told to entry nodes yet */
+    struct vp_limiter pace;         /* of views to entry nodes; a new leader begins anew */
     struct ct_cached_frame changes_frame, whole_frame; /* of the view, as sent last */
     struct ct_cached_frame nodes_changes, nodes_whole; /* of the list of nodes */
     /* leading */
--- a/control/pending_view.h
+++ b/control/pending_view.h
@@ -14,7 +14,8 @@
 };
 
 /* Whether the view may go out now; else it waits. */
-static inline bool pv_try_send(struct pv_pending_view *t, const struct vp_limiter *p, int64_t now)
+static inline bool pv_try_send(struct pv_pending_view *t, const struct vp_limiter *p,
+                               int64_t now)
 {
     if (!t->waiting)
         t->since = now;
--- a/promote/promote.h
+++ b/promote/promote.h
@@ -68,8 +68,7 @@
     uint64_t proposed_term; /* latest term under which this leader proposed a replacement */
     int64_t proposed_at;
     int64_t attempt_began, step_at;
-    int64_t
-        promote_limit_us; /* time limit of a promotion; doubles, as an instance may stay slow */
+    int64_t promote_limit_us; /* limit of a promotion; doubles, as an instance may stay slow */
     int checks_pending, checks_up, checks_down;
     uint64_t nonce;
     int chosen;
--- a/takeover/takeover.h
+++ b/takeover/takeover.h
@@ -62,8 +62,7 @@
     uint64_t term;                /* term of the attempt; 0: this leader made none */
     int target;                   /* index of the instance that was called; -1 none */
     bool call_done;               /* the call under `term` was carried out */
-    char open_call_inst[VW_NAME]; /* instance of the latest call whose outcome is unknown; ""
-                                     none */
+    char open_call_inst[VW_NAME]; /* instance of the latest call of unknown outcome, or "" */
     bool open_calls_differ;       /* calls of unknown outcome may name different instances */
     /* replies to the latest check: still missing, up, down, unfit */
     int checks_pending, checks_up, checks_down, checks_unfit;
--- a/view/push.c
+++ b/view/push.c
@@ -9,8 +9,7 @@
     /* What may be sent at once: 30 ms of a link of 100 Mbit/s, which is enough for all views of
      * a small deployment. */
     BURST_BYTES = 384 * 1024,
-    SLOWDOWN_INTERVAL_US =
-        200000, /* until a lower rate has an effect on the quorum's replies */
+    SLOWDOWN_INTERVAL_US = 200000, /* until a lower rate shows in the quorum's replies */
     SECOND_US = 1000000,
     /* Batches are limited to a thousand views a second, each of which is five messages at the
      * leader. The delay stays well below the time for which a lease outlives its renewal. */
