--- a/proxy/limits.c
+++ b/proxy/limits.c
@@ -104,7 +104,7 @@
     end_if_due(p, ck_now());
     r->permits = out;
     r->n_permits = 0;
-    r->all_permits = p->permits_unreported;
+    r->permits_complete = p->permits_unreported;
     for (int i = 0; i < p->n_accounts; i++) {
         struct px_account *a = &p->accounts[i];
         struct lm_report m;
--- a/wire/decode.c
+++ b/wire/decode.c
@@ -256,7 +256,7 @@
     m->leaving = get_b(r); /* usually absent */
     m->nodes_hash = get_u(r);
     m->permits = get_permit_asks(r, &m->n_permits);
-    m->all_permits = get_b(r);
+    m->permits_complete = get_b(r);
 }
 
 static void get_grant(struct reader *r, struct wr_grant *g)
--- a/wire/encode.c
+++ b/wire/encode.c
@@ -153,7 +153,7 @@
 static void put_renew(msgpack_packer *pk, const struct wr_renew *r)
 {
     /* An absent field reads as zero, so trailing zero fields are left out. */
-    bool all = r->all_permits, permits = r->n_permits > 0 || all;
+    bool all = r->permits_complete, permits = r->n_permits > 0 || all;
     bool nodes = r->nodes_hash || permits, leaving = r->leaving || nodes;
     put_header(pk, WR_RENEW, 6u + leaving + nodes + permits + all);
     put_u(pk, r->seq);
--- a/wire/wire.h
+++ b/wire/wire.h
@@ -93,15 +93,15 @@
     uint64_t nodes_hash; /* hash of the sender's node list (route/nodelist.h); 0: unknown */
     uint32_t n_permits;
     struct wr_permit_ask *permits;
-    bool all_permits; /* `permits` names every account of which the node has permits */
+    bool permits_complete; /* `permits` names every account of which the node has permits */
 };
 
 struct wr_grant {
     uint64_t seq, hlc;
     uint32_t duration_ms; /* counted from when the renewal was sent; 0: refused */
     uint64_t generation;
-    bool knows_permits; /* the leader got all_permits on this connection: granted permits stay
-                           valid */
+    bool knows_permits; /* the leader got permits_complete on this connection: granted permits
+                           stay valid */
 };
 
 struct wr_view {
