--- a/control/control.c
+++ b/control/control.c
@@ -136,7 +136,7 @@
         return;
     }
     note_room(n);
-    qr_persisted(n->q, dk_done(n->disk), ck_now());
+    qr_persisted(n->q, dk_durable_seq(n->disk), ck_now());
 }
 
 static void wake_loop(void *ud)
--- a/quorum/disk.c
+++ b/quorum/disk.c
@@ -192,7 +192,7 @@
     pthread_mutex_unlock(&d->lock);
 }
 
-uint64_t dk_done(struct dk_disk *d)
+uint64_t dk_durable_seq(struct dk_disk *d)
 {
     pthread_mutex_lock(&d->lock);
     uint64_t done = d->done;
--- a/quorum/disk.h
+++ b/quorum/disk.h
@@ -11,12 +11,12 @@
 
 struct dk_disk;
 
-/* `wake` is called on the disk thread when the result of dk_done, dk_failed or
+/* `wake` is called on the disk thread when the result of dk_durable_seq, dk_failed or
  * dk_waits_for_space may have changed. */
 struct dk_disk *dk_start(struct so_store *s, void (*wake)(void *ud), void *ud);
 void dk_write(struct dk_disk *d, const struct qr_persist *p);
 /* The highest sequence number (qr_persist.seq) that is durable. */
-uint64_t dk_done(struct dk_disk *d);
+uint64_t dk_durable_seq(struct dk_disk *d);
 /* Whether a write or sync has failed for good; if so, *err is the failure. Nothing became
  * durable after it. */
 bool dk_failed(struct dk_disk *d, struct er_err *err);
--- a/tests/unit/test_store.c
+++ b/tests/unit/test_store.c
@@ -421,7 +421,7 @@
         usleep(1000);
     CU_ASSERT_TRUE(dk_failed(d, &err));
     CU_ASSERT_EQUAL(err.kind, ER_DISK);
-    CU_ASSERT_EQUAL(dk_done(d), 0);
+    CU_ASSERT_EQUAL(dk_durable_seq(d), 0);
     dk_stop(d);
     failing.f = NULL;
     so_close(s);
@@ -478,12 +478,12 @@
         failing.f = f;
         struct dk_disk *d = dk_start(s, ignore_wake, NULL);
         write_three(d, f->snapshot);
-        for (int k = 0; k < PATIENCE_MS && dk_done(d) < 3; k++) {
+        for (int k = 0; k < PATIENCE_MS && dk_durable_seq(d) < 3; k++) {
             if (f->call == F_SHORT && dk_waits_for_space(d, &err))
                 failing.f = NULL; /* there is room again */
             usleep(1000);
         }
-        if (dk_done(d) != 3 || dk_failed(d, &err) || dk_waits_for_space(d, &err))
+        if (dk_durable_seq(d) != 3 || dk_failed(d, &err) || dk_waits_for_space(d, &err))
             CU_FAIL(f->what);
         dk_stop(d);
         failing.f = NULL;
@@ -515,7 +515,7 @@
     CU_ASSERT_TRUE(dk_waits_for_space(d, &err));
     CU_ASSERT_EQUAL(err.kind, ER_DISK_FULL);
     CU_ASSERT_FALSE(dk_failed(d, &err));
-    CU_ASSERT_EQUAL(dk_done(d), 0);
+    CU_ASSERT_EQUAL(dk_durable_seq(d), 0);
     dk_stop(d);
     failing.f = NULL;
     so_close(s);
