--- a/quorum/disk.c
+++ b/quorum/disk.c
@@ -118,7 +118,8 @@
         struct er_err err = {0};
         bool again = d->full;
         pthread_mutex_unlock(&d->lock);
-        bool ok = (!again || so_undo(d->store, &err)) && write_batch(d, batch, seq, &err);
+        bool ok =
+            (!again || so_discard_unsynced(d->store, &err)) && write_batch(d, batch, seq, &err);
         pthread_mutex_lock(&d->lock);
         d->full = !ok && err.kind == ER_DISK_FULL;
         if (ok)
--- a/quorum/store.c
+++ b/quorum/store.c
@@ -264,7 +264,7 @@
     return true;
 }
 
-bool so_undo(struct so_store *s, struct er_err *err)
+bool so_discard_unsynced(struct so_store *s, struct er_err *err)
 {
     if (s->log_fd < 0 && !open_log(s, err))
         return false;
--- a/quorum/store.h
+++ b/quorum/store.h
@@ -53,7 +53,7 @@
 bool so_sync(struct so_store *s, struct er_err *err);
 /* After ER_DISK_FULL: restores the log to its content at the last sync or snapshot. All actions
  * written since then may be written again, in order. */
-bool so_undo(struct so_store *s, struct er_err *err);
+bool so_discard_unsynced(struct so_store *s, struct er_err *err);
 /* Replaces the system calls; `f` must outlive the store. */
 void so_use(struct so_store *s, const struct so_files *f);
 /* Size of the log file in bytes. */
