--- a/quorum/store.c
+++ b/quorum/store.c
@@ -21,10 +21,10 @@
 
 enum rec_type { REC_HARD = 1, REC_ENTRY, REC_TRUNCATE, REC_SNAPSHOT };
 
-static const struct so_files system_files = {write, fdatasync, fsync, rename, ftruncate};
+static const struct so_file_ops system_files = {write, fdatasync, fsync, rename, ftruncate};
 
 struct so_store {
-    const struct so_files *f;
+    const struct so_file_ops *f;
     char dir[512];
     int dir_fd, log_fd; /* below 0: not open */
     uint64_t log_bytes;
@@ -276,7 +276,7 @@
     return true;
 }
 
-void so_use(struct so_store *s, const struct so_files *f)
+void so_set_file_ops(struct so_store *s, const struct so_file_ops *f)
 {
     s->f = f;
 }
--- a/quorum/store.h
+++ b/quorum/store.h
@@ -20,7 +20,7 @@
 /* The system calls of the store that can fail. Tests replace them to inject failures. They
  * return what write(2), fdatasync(2), fsync(2), rename(2) and ftruncate(2) return, and set
  * errno. */
-struct so_files {
+struct so_file_ops {
     ssize_t (*write)(int fd, const void *p, size_t n);
     int (*datasync)(int fd);
     int (*sync)(int fd);
@@ -55,7 +55,7 @@
  * written since then may be written again, in order. */
 bool so_discard_unsynced(struct so_store *s, struct er_err *err);
 /* Replaces the system calls; `f` must outlive the store. */
-void so_use(struct so_store *s, const struct so_files *f);
+void so_set_file_ops(struct so_store *s, const struct so_file_ops *f);
 /* Size of the log file in bytes. */
 uint64_t so_log_bytes(const struct so_store *s);
 void so_close(struct so_store *s);
--- a/tests/unit/test_store.c
+++ b/tests/unit/test_store.c
@@ -309,8 +309,8 @@
     return fails_now(F_LENGTH) ? -1 : ftruncate(fd, len);
 }
 
-static const struct so_files bad_files = {bad_write, bad_datasync, bad_sync, bad_rename,
-                                          bad_length};
+static const struct so_file_ops bad_files = {bad_write, bad_datasync, bad_sync, bad_rename,
+                                             bad_length};
 
 static const struct disk_fault disk_faults[] = {
     {"an entry, disk full", F_WRITE, 1, ENOSPC, false},
@@ -378,7 +378,7 @@
         struct so_loaded l;
         struct er_err err;
         struct so_store *s = filled_store(3, &l, &err);
-        so_use(s, &bad_files);
+        so_set_file_ops(s, &bad_files);
         failing.f = f;
         failing.uses = 0;
         struct qr_persist p = faulty_action(f);
@@ -410,7 +410,7 @@
     new_dir();
     struct so_store *s = open_store(&l, &err);
     so_release(s);
-    so_use(s, &bad_files);
+    so_set_file_ops(s, &bad_files);
     failing.f = &sync_fails;
     failing.uses = 0;
     struct dk_disk *d = dk_start(s, ignore_wake, NULL);
@@ -473,7 +473,7 @@
         struct er_err err;
         struct so_store *s = filled_store(3, &l, &err);
         so_release(s);
-        so_use(s, &bad_files);
+        so_set_file_ops(s, &bad_files);
         failing.uses = 0;
         failing.f = f;
         struct dk_disk *d = dk_start(s, ignore_wake, NULL);
@@ -505,7 +505,7 @@
     struct er_err err = {0};
     struct so_store *s = filled_store(3, &l, &err);
     so_release(s);
-    so_use(s, &bad_files);
+    so_set_file_ops(s, &bad_files);
     failing.uses = 1; /* every write is refused */
     failing.f = &full;
     struct dk_disk *d = dk_start(s, ignore_wake, NULL);
