--- a/control/control.c
+++ b/control/control.c
@@ -139,7 +139,7 @@
         return;
     }
     check_disk_space(n);
-    qr_persisted(n->q, dk_done(n->disk), ck_now());
+    qr_persisted(n->q, dk_durable_seq(n->disk), ck_now());
 }
 
 static void wake_loop(void *ud)
--- a/quorum/disk.c
+++ b/quorum/disk.c
@@ -118,7 +118,8 @@
         struct er_err err = {0};
         bool again = d->full;
         pthread_mutex_unlock(&d->lock);
-        bool ok = (!again || so_undo(d->store, &err)) && write_batch(d, batch, seq, &err);
+        bool ok =
+            (!again || so_discard_unsynced(d->store, &err)) && write_batch(d, batch, seq, &err);
         pthread_mutex_lock(&d->lock);
         d->full = !ok && err.kind == ER_DISK_FULL;
         if (ok)
@@ -192,7 +193,7 @@
     pthread_mutex_unlock(&d->lock);
 }
 
-uint64_t dk_done(struct dk_disk *d)
+uint64_t dk_durable_seq(struct dk_disk *d)
 {
     pthread_mutex_lock(&d->lock);
     uint64_t done = d->done;
