--- a/proxy/pending.c
+++ b/proxy/pending.c
@@ -2,14 +2,15 @@
 
 #include <string.h>
 
-/* A write for itself is kept; one in a transaction is with its COMMIT. */
-static void write_said(struct px_pending *q, enum px_txn txn)
+/* A write outside a transaction is committed at once; a write in a transaction is committed
+ * with the transaction. */
+static void add_write(struct px_pending *q, enum px_txn txn)
 {
     q->txn_wrote = true;
     q->may_keep = q->may_keep || txn == PX_IDLE;
 }
 
-static void statement_said(struct px_pending *q, const struct px_stmt *st, enum px_txn txn)
+static void add_statement(struct px_pending *q, const struct px_stmt *st, enum px_txn txn)
 {
     q->ends_txn = false;
     switch (st->verb) {
@@ -26,25 +27,25 @@
     case PX_V_PREPARE:
     case PX_V_DEALLOCATE:
         break;
-    default: /* what EXECUTE does the other node knows */
-        write_said(q, txn);
+    default: /* only the serving node knows whether EXECUTE writes */
+        add_write(q, txn);
         break;
     }
 }
 
-static void line_said(struct px_pending *q, const struct px_codec *codec, enum px_txn txn)
+static void add_line(struct px_pending *q, const struct px_codec *codec, enum px_txn txn)
 {
     struct px_msg m;
     struct px_stmt st = {.verb = PX_V_BAD};
     size_t n = q->len > 0 && q->head[q->len - 1] == '\r' ? q->len - 1 : q->len;
     codec->parse((struct sr_str){q->head, n}, &m);
     if (m.kind == PX_END)
-        return; /* wants no answer */
+        return; /* has no reply */
     q->pipelined = q->pipelined || q->open > 0;
     q->open++;
     if (m.kind == PX_STATEMENT)
         codec->parse_text(m.text, &st);
-    statement_said(q, &st, txn);
+    add_statement(q, &st, txn);
 }
 
 void px_pending_add(struct px_pending *q, const struct px_codec *codec, enum px_txn txn,
@@ -52,7 +53,7 @@
 {
     for (size_t i = 0; i < len; i++) {
         if (data[i] == '\n') {
-            line_said(q, codec, txn);
+            add_line(q, codec, txn);
             q->len = 0;
         } else if (q->len < sizeof(q->head)) {
             q->head[q->len++] = data[i];
--- a/proxy/pending.h
+++ b/proxy/pending.h
@@ -1,31 +1,32 @@
-/* What the open question of a session that another node serves may leave behind, if no answer
- * to it comes: what may truthfully be said of it then.
+/* Tracks the pending request of a session that another node serves. If its reply is lost, the
+ * relaying node must tell the caller whether the request can have had a lasting effect.
  *
- * Pure; only the beginnings of lines are kept. In doubt a question keeps something. */
+ * Pure: no input, output or clock. Only the first bytes of each line are stored. If the effect
+ * of a request is unknown, the request counts as one that may be committed. */
 #ifndef FL_PROXY_PENDING_H
 #define FL_PROXY_PENDING_H
 
 #include "proxy/wire.h"
 
-enum { PX_PENDING_HEAD_BYTES = 160 }; /* bytes of a line that are looked at: id and verb */
+enum { PX_PENDING_HEAD_BYTES = 160 }; /* bytes of a line that are parsed: id and verb */
 
 struct px_pending {
-    char head[PX_PENDING_HEAD_BYTES]; /* of the line that is not whole yet */
+    char head[PX_PENDING_HEAD_BYTES]; /* first bytes of the incomplete line */
     size_t len;
-    int open;       /* whole questions since the last answer */
-    bool may_keep;  /* one of them may be kept */
+    int open;       /* complete requests since the last reply */
+    bool may_keep;  /* the effect of one of them may be committed */
     bool ends_txn;  /* the last of them ends the transaction */
-    bool txn_wrote; /* the transaction did, or may have */
-    bool pipelined; /* a question came before the answer to another: no more is known */
+    bool txn_wrote; /* the transaction wrote, or may have written */
+    bool pipelined; /* a request came before the reply to another; the effects are unknown */
 };
 
-/* The caller says this; `txn` is where the last answer left the session. */
+/* Adds bytes received from the caller; `txn` is the transaction state of the last reply. */
 void px_pending_add(struct px_pending *q, const struct px_codec *codec, enum px_txn txn,
                     const char *data, size_t len);
-/* All of it is answered. */
+/* All requests have been answered; the last reply reports the transaction state `txn`. */
 void px_pending_answered(struct px_pending *q, enum px_txn txn);
-/* Whether nothing of what is open is kept, whether or not it was carried out: a read, or a
- * statement of a transaction whose COMMIT nobody has asked for. */
+/* Whether no pending request can have a lasting effect, executed or not: it is a read, or a
+ * statement of a transaction whose COMMIT was not requested. */
 bool px_pending_harmless(const struct px_pending *q);
 
 #endif
--- a/proxy/stages.c
+++ b/proxy/stages.c
@@ -2,11 +2,11 @@
 
 static const char *const names[PX_T_COUNT] = {"permit", "wait", "setup", "instance", "relay"};
 
-void px_stages_add(struct px_stages *t, enum px_latency_stage part, int64_t us)
+void px_stages_add(struct px_stages *t, enum px_latency_stage stage, int64_t us)
 {
-    hi_add(&t->hist[part], us);
-    t->n[part]++;
-    t->sum_us[part] += us;
+    hi_add(&t->hist[stage], us);
+    t->n[stage]++;
+    t->sum_us[stage] += us;
 }
 
 bool px_stages_report(struct px_stages *t, struct sr_buf *out)
--- a/proxy/state.c
+++ b/proxy/state.c
@@ -11,21 +11,22 @@
     return p;
 }
 
-static bool is(const char *z, struct sr_str s)
+static bool equals(const char *z, struct sr_str s)
 {
     return sr_eq(sr_from(z), s);
 }
 
-/* ---- the session's ---- */
+/* ---- the session's state ---- */
 
 bool px_set_value(struct px_state *s, struct sr_str name, struct sr_str value,
                   struct er_err *err)
 {
     int i = 0;
-    while (i < s->n_values && !is(s->values[i].name, name))
+    while (i < s->n_values && !equals(s->values[i].name, name))
         i++;
     if (i == PX_MAX_VALUES)
-        return er_set(err, ER_TOO_LARGE, "%d values are the most of a session", PX_MAX_VALUES);
+        return er_set(err, ER_TOO_LARGE, "the maximum of %d values per session is reached",
+                      PX_MAX_VALUES);
     if (i == s->n_values) {
         s->values = sr_realloc(s->values, sizeof(*s->values) * (size_t)(i + 1));
         s->values[i] = (struct px_value){.name = copy(name)};
@@ -37,10 +38,10 @@
     return true;
 }
 
-static int prepared_at(const struct px_state *s, struct sr_str name)
+static int prepared_index(const struct px_state *s, struct sr_str name)
 {
     for (int i = 0; i < s->n_prepared; i++) {
-        if (is(s->prepared[i].name, name))
+        if (equals(s->prepared[i].name, name))
             return i;
     }
     return -1;
@@ -48,7 +49,7 @@
 
 const struct px_prepared *px_find_prepared(const struct px_state *s, struct sr_str name)
 {
-    int i = prepared_at(s, name);
+    int i = prepared_index(s, name);
     return i < 0 ? NULL : &s->prepared[i];
 }
 
@@ -62,7 +63,7 @@
 bool px_prepare(struct px_state *s, struct sr_str name, bool writes, struct sr_str shape,
                 struct er_err *err)
 {
-    int i = prepared_at(s, name);
+    int i = prepared_index(s, name);
     if (i >= 0) {
         free(s->prepared[i].shape);
         s->prepared[i].shape = copy(shape);
@@ -70,7 +71,8 @@
         return true;
     }
     if (s->n_prepared == PX_MAX_PREPARED)
-        return er_set(err, ER_TOO_LARGE, "%d prepared statements are the most of a session",
+        return er_set(err, ER_TOO_LARGE,
+                      "the maximum of %d prepared statements per session is reached",
                       PX_MAX_PREPARED);
     add_prepared(&s->prepared, &s->n_prepared, copy(name), shape, writes);
     return true;
@@ -84,7 +86,7 @@
 
 bool px_deallocate(struct px_state *s, struct sr_str name, struct er_err *err)
 {
-    int i = prepared_at(s, name);
+    int i = prepared_index(s, name);
     if (i < 0)
         return er_set(err, ER_NO_STATEMENT, "%.*s", (int)name.len, name.p);
     free_prepared(&s->prepared[i]);
@@ -105,7 +107,7 @@
     *s = (struct px_state){0};
 }
 
-/* ---- the connection's ---- */
+/* ---- the state set up on a connection ---- */
 
 const char *px_prepared_name_on(const struct px_applied *a, const struct px_prepared *run)
 {
@@ -117,7 +119,8 @@
     return NULL;
 }
 
-/* Of the values that the connection lacks, the one that was set first. */
+/* Returns the value that was set first of those missing on a connection whose values are set up
+ * to version `has`, or NULL if none is missing. */
 static const struct px_value *next_value(const struct px_state *s, uint64_t has)
 {
     const struct px_value *best = NULL;
@@ -133,9 +136,9 @@
                    const struct px_prepared *run, char name[PX_STMT_NAME], struct px_stmt *st)
 {
     *st = (struct px_stmt){.verb = PX_V_DISCARD};
-    bool others = a->session && a->session != s->session;
+    bool has_other_session = a->session && a->session != s->session;
     bool lacks = run && !px_prepared_name_on(a, run);
-    if (others || (lacks && a->n_prepared == PX_MAX_PREPARED_ON_CONN))
+    if (has_other_session || (lacks && a->n_prepared == PX_MAX_PREPARED_ON_CONN))
         return true;
     const struct px_value *v = next_value(s, a->session ? a->version : 0);
     if (v) {
@@ -145,7 +148,7 @@
     }
     if (!lacks)
         return false;
-    snprintf(name, PX_STMT_NAME, "p%u", a->named + 1);
+    snprintf(name, PX_STMT_NAME, "p%u", a->names_assigned + 1);
     *st = (struct px_stmt){.verb = PX_V_PREPARE,
                            .name = sr_from(name),
                            .writes = run->writes,
@@ -158,8 +161,8 @@
     for (int i = 0; i < a->n_prepared; i++)
         free_prepared(&a->prepared[i]);
     free(a->prepared);
-    unsigned named = a->named;
-    *a = (struct px_applied){.named = named};
+    unsigned names_assigned = a->names_assigned;
+    *a = (struct px_applied){.names_assigned = names_assigned};
 }
 
 void px_setup_done(const struct px_state *s, struct px_applied *a, const struct px_stmt *st)
@@ -171,7 +174,7 @@
         a->session = s->session;
         a->version = v ? v->version : s->version;
     } else if (st->verb == PX_V_PREPARE) {
-        a->named++;
+        a->names_assigned++;
         add_prepared(&a->prepared, &a->n_prepared, copy(st->name), st->value, st->writes);
     }
 }
