--- a/proxy/limits.c
+++ b/proxy/limits.c
@@ -1,14 +1,15 @@
-/* Limits of client accounts: operations begin with a permit (limit/). */
+/* Enforces the limits of client accounts: an operation of a limited account needs a permit
+ * (limit/). The entry role exchanges permits with the leader in its lease renewals. */
 #include <stdio.h>
 #include <stdlib.h>
 
 #include "proxy/priv.h"
 
-enum { LEAST_RETRY_MS = 20 };
+enum { MIN_RETRY_MS = 20 };
 
 /* ---- accounts ---- */
 
-static struct px_account *account_of(struct px_proxy *p, const char *name)
+static struct px_account *get_account(struct px_proxy *p, const char *name)
 {
     int i = ix_get(&p->account_at, name);
     if (i == IX_NONE) {
@@ -27,31 +28,31 @@
     return a && a->limited;
 }
 
-/* ---- their permits' life ---- */
+/* ---- expiry of permits ---- */
 
-static void throw_away(struct px_proxy *p)
+static void discard_permits(struct px_proxy *p)
 {
     for (int i = 0; i < p->n_accounts; i++)
         lm_void(&p->accounts[i].permits);
 }
 
-static void end_if_due(struct px_proxy *p, int64_t now)
+static void discard_expired_permits(struct px_proxy *p, int64_t now)
 {
     if (now >= p->permits_expire_at)
-        throw_away(p);
+        discard_permits(p);
 }
 
 void px_permits_renewed(struct px_proxy *p, int64_t sent)
 {
     int64_t now = ck_now(), until = sent + LM_LIFE_US;
-    end_if_due(p, now);
+    discard_expired_permits(p, now);
     if (until > now && until > p->permits_expire_at)
         p->permits_expire_at = until;
 }
 
 void px_permits_discard(struct px_proxy *p)
 {
-    throw_away(p);
+    discard_permits(p);
     p->permits_expire_at = 0;
 }
 
@@ -66,15 +67,15 @@
 {
     if (s->permit != PX_PERMIT_NEEDED)
         return LM_GO;
-    end_if_due(s->p, ck_now());
-    struct px_account *a = account_of(s->p, s->account);
+    discard_expired_permits(s->p, ck_now());
+    struct px_account *a = get_account(s->p, s->account);
     enum lm_verdict v = lm_take(&a->permits, s->route.priority, ck_now());
     if (v == LM_GO) {
         s->permit = PX_PERMIT_TAKEN;
         px_stage_done(s, PX_T_PERMIT);
         a->begun++;
     } else if (v == LM_WAIT) {
-        s->p->has_changes = true; /* asked for with a renewal of its own */
+        s->p->has_changes = true; /* causes an extra renewal that requests permits */
     }
     return v;
 }
@@ -82,17 +83,17 @@
 void px_permit_charge_retry(struct px_session *s)
 {
     if (s->permit == PX_PERMIT_TAKEN)
-        lm_extra(&account_of(s->p, s->account)->permits);
+        lm_extra(&get_account(s->p, s->account)->permits);
 }
 
 void px_refuse_over_limit(struct px_session *s)
 {
     char detail[96];
-    struct px_account *a = account_of(s->p, s->account);
+    struct px_account *a = get_account(s->p, s->account);
     int64_t ms = lm_retry_us(&a->permits, ck_now()) / 1000;
     a->refused++;
     snprintf(detail, sizeof(detail), "the account is over its limit; retry in %lld ms",
-             (long long)(ms > LEAST_RETRY_MS ? ms : LEAST_RETRY_MS));
+             (long long)(ms > MIN_RETRY_MS ? ms : MIN_RETRY_MS));
     px_refuse(s, ER_LIMIT, detail);
 }
 
@@ -101,7 +102,7 @@
 void px_permit_requests(struct px_proxy *p, struct wr_renew *r)
 {
     struct wr_permit_ask *out = sr_alloc(sizeof(*out) * (size_t)(p->n_accounts + 1));
-    end_if_due(p, ck_now());
+    discard_expired_permits(p, ck_now());
     r->permits = out;
     r->n_permits = 0;
     r->all_permits = p->permits_unreported;
@@ -119,8 +120,8 @@
     p->permits_unreported = false;
 }
 
-/* Those that wait for it go on at once. */
-static void wake(struct px_proxy *p, const char *account)
+/* Retries at once the account's statements that wait for a permit. */
+static void wake_waiting_sessions(struct px_proxy *p, const char *account)
 {
     for (struct px_session *s = p->active, *next; s; s = next) {
         next = s->next_active;
@@ -134,16 +135,17 @@
                         uint32_t n)
 {
     if (sent + LM_LIFE_US <= ck_now())
-        return; /* a VM that was frozen: the leader has forgotten them */
+        return; /* the VM was frozen for so long that the leader's record of them has expired */
     px_permits_renewed(p, sent);
     for (uint32_t i = 0; i < n; i++) {
         char name[AC_NAME];
         struct lm_grant a = {(int)permits[i].given, CK_MS((int64_t)permits[i].over_ms)};
         if (!sr_copy(name, sizeof(name), permits[i].account) || !name[0])
             continue;
-        lm_apply_grant(&account_of(p, name)->permits, &a, ck_now());
-        if (a.given > 0 || a.over_us > 0) /* else they ask anew in a while */
-            wake(p, name);
+        lm_apply_grant(&get_account(p, name)->permits, &a, ck_now());
+        /* Otherwise the waiting statements request permits again later. */
+        if (a.given > 0 || a.over_us > 0)
+            wake_waiting_sessions(p, name);
     }
 }
 
