--- a/proxy/limits.c
+++ b/proxy/limits.c
@@ -8,7 +8,7 @@
 
 /* ---- accounts ---- */
 
-static struct px_account *account_of(struct px_proxy *p, const char *name)
+static struct px_account *get_account(struct px_proxy *p, const char *name)
 {
     int i = ix_get(&p->account_at, name);
     if (i == IX_NONE) {
@@ -67,7 +67,7 @@
     if (s->permit != PX_PERMIT_NEEDED)
         return LM_ADMIT;
     discard_if_expired(s->p, ck_now());
-    struct px_account *a = account_of(s->p, s->account);
+    struct px_account *a = get_account(s->p, s->account);
     enum lm_verdict v = lm_take(&a->permits, s->route.priority, ck_now());
     if (v == LM_ADMIT) {
         s->permit = PX_PERMIT_TAKEN;
@@ -82,13 +82,13 @@
 void px_permit_charge_retry(struct px_session *s)
 {
     if (s->permit == PX_PERMIT_TAKEN)
-        lm_charge_retry(&account_of(s->p, s->account)->permits);
+        lm_charge_retry(&get_account(s->p, s->account)->permits);
 }
 
 void px_refuse_over_limit(struct px_session *s)
 {
     char detail[96];
-    struct px_account *a = account_of(s->p, s->account);
+    struct px_account *a = get_account(s->p, s->account);
     int64_t ms = lm_retry_us(&a->permits, ck_now()) / 1000;
     a->refused++;
     snprintf(detail, sizeof(detail), "the account is over its limit; retry in %lld ms",
@@ -141,7 +141,8 @@
         struct lm_grant a = {(int)permits[i].given, CK_MS((int64_t)permits[i].over_ms)};
         if (!sr_copy(name, sizeof(name), permits[i].account) || !name[0])
             continue;
-        lm_apply_grant(&account_of(p, name)->permits, &a, ck_now());
+        lm_apply_grant(&get_account(p, name)->permits, &a, ck_now());
+        /* Otherwise the waiting statements request permits again later. */
         if (a.given > 0 || a.over_us > 0) /* else the next request follows later */
             wake_waiting(p, name);
     }
--- a/proxy/stages.h
+++ b/proxy/stages.h
@@ -22,15 +22,16 @@
 
 /* `hist` counts since the start; `n` and `sum_us` since the last report. */
 struct px_stages {
-    struct hi_hist hist[PX_T_COUNT];
-    uint64_t n[PX_T_COUNT];
-    int64_t sum_us[PX_T_COUNT];
+    struct hi_hist hist[PX_T_COUNT]; /* since the start; in microseconds */
+    uint64_t n[PX_T_COUNT];          /* statements since the last report */
+    int64_t sum_us[PX_T_COUNT];      /* sum of their latencies */
 };
 
 void px_stages_add(struct px_stages *t, enum px_latency_stage stage, int64_t us);
 /* Appends "permit=12/0.4 wait=...", the number of statements and their mean in ms by stage, and
  * starts a new period. Returns false if there was no statement in the period. */
 bool px_stages_report(struct px_stages *t, struct sr_buf *out);
+/* Appends the lines for /metrics. */
 void px_stages_metrics(const struct px_stages *t, struct sr_buf *out);
 
 #endif
--- a/proxy/state.c
+++ b/proxy/state.c
@@ -25,7 +25,8 @@
     while (i < s->n_values && !str_equals(s->values[i].name, name))
         i++;
     if (i == PX_MAX_VALUES)
-        return er_set(err, ER_TOO_LARGE, "a session can have at most %d values", PX_MAX_VALUES);
+        return er_set(err, ER_TOO_LARGE, "a session can have at most %d values",
+                      PX_MAX_VALUES);
     if (i == s->n_values) {
         s->values = sr_realloc(s->values, sizeof(*s->values) * (size_t)(i + 1));
         s->values[i] = (struct px_value){.name = dup_str(name)};
@@ -37,7 +38,7 @@
     return true;
 }
 
-static int prepared_at(const struct px_state *s, struct sr_str name)
+static int prepared_index(const struct px_state *s, struct sr_str name)
 {
     for (int i = 0; i < s->n_prepared; i++) {
         if (str_equals(s->prepared[i].name, name))
@@ -48,7 +49,7 @@
 
 const struct px_prepared *px_find_prepared(const struct px_state *s, struct sr_str name)
 {
-    int i = prepared_at(s, name);
+    int i = prepared_index(s, name);
     return i < 0 ? NULL : &s->prepared[i];
 }
 
@@ -62,7 +63,7 @@
 bool px_prepare(struct px_state *s, struct sr_str name, bool writes, struct sr_str shape,
                 struct er_err *err)
 {
-    int i = prepared_at(s, name);
+    int i = prepared_index(s, name);
     if (i >= 0) {
         free(s->prepared[i].shape);
         s->prepared[i].shape = dup_str(shape);
@@ -70,7 +71,8 @@
         return true;
     }
     if (s->n_prepared == PX_MAX_PREPARED)
-        return er_set(err, ER_TOO_LARGE, "a session can have at most %d prepared statements",
+        return er_set(err, ER_TOO_LARGE,
+                      "a session can have at most %d prepared statements",
                       PX_MAX_PREPARED);
     add_prepared(&s->prepared, &s->n_prepared, dup_str(name), shape, writes);
     return true;
@@ -84,7 +86,7 @@
 
 bool px_deallocate(struct px_state *s, struct sr_str name, struct er_err *err)
 {
-    int i = prepared_at(s, name);
+    int i = prepared_index(s, name);
     if (i < 0)
         return er_set(err, ER_NO_STATEMENT, "%.*s", (int)name.len, name.p);
     free_prepared(&s->prepared[i]);
--- a/proxy/state.h
+++ b/proxy/state.h
@@ -11,10 +11,12 @@
 #include "proxy/wire.h"
 
 enum {
-    PX_MAX_VALUES = 256,           /* of a session */
-    PX_MAX_PREPARED = 256,         /* of a session */
+    PX_MAX_VALUES = 256,   /* values of a session */
+    PX_MAX_PREPARED = 256, /* prepared statements of a session */
+    /* Prepared statements on a connection; at this number they are all discarded before the
+     * next one is prepared. */
     PX_MAX_PREPARED_ON_CONN = 128, /* prepared statements on a connection before it is reset */
-    PX_STMT_NAME = 24,
+    PX_STMT_NAME = 24, /* bytes of a prepared statement's name on a connection, with its NUL */
 };
 
 struct px_value {
@@ -41,15 +43,20 @@
     uint64_t session; /* session whose values are set; 0: none */
     uint64_t version; /* px_state.version of the last value set here */
     int n_prepared;
-    unsigned last_name; /* number in the name of the last statement prepared here */
+    unsigned
+        last_name; /* number in the name of the last statement prepared here */
     struct px_prepared *prepared;
 };
 
+/* The following change the session's state and copy their strings. They return false and set
+ * *err if a maximum is exceeded (ER_TOO_LARGE) or there is no such prepared statement
+ * (ER_NO_STATEMENT). */
 bool px_set_value(struct px_state *s, struct sr_str name, struct sr_str value,
                   struct er_err *err);
 bool px_prepare(struct px_state *s, struct sr_str name, bool writes, struct sr_str shape,
                 struct er_err *err);
 bool px_deallocate(struct px_state *s, struct sr_str name, struct er_err *err);
+/* Returns NULL if the session has no prepared statement of this name. */
 const struct px_prepared *px_find_prepared(const struct px_state *s, struct sr_str name);
 void px_state_free(struct px_state *s);
 
