--- a/control/control.c
+++ b/control/control.c
@@ -289,7 +289,7 @@
                             .ud = n};
     randombytes_buf(&cfg.seed, sizeof(cfg.seed));
     n->q = qr_create(&cfg, &disk.restore, ck_now());
-    so_release(n->store);
+    so_free_loaded(n->store);
     ct_load_document(n);
     ct_groups_sync(n);
     tl_add(tl, TL_START, "", qr_term(n->q), "control node %llx", (unsigned long long)n->id);
--- a/quorum/store.c
+++ b/quorum/store.c
@@ -475,7 +475,7 @@
     return NULL;
 }
 
-void so_release(struct so_store *s)
+void so_free_loaded(struct so_store *s)
 {
     drop_entries_from(s, 0);
     free(s->entries);
@@ -492,7 +492,7 @@
 
 void so_close(struct so_store *s)
 {
-    so_release(s);
+    so_free_loaded(s);
     if (s->log_fd >= 0)
         close(s->log_fd);
     if (s->dir_fd >= 0)
--- a/quorum/store.h
+++ b/quorum/store.h
@@ -32,10 +32,11 @@
 
 /* The state that was loaded from the disk. */
 struct so_loaded {
-    bool created;              /* the folder was empty and got a new identity */
-    uint64_t identity;         /* id of the member that owns the folder */
-    uint64_t torn_bytes;       /* bytes truncated from the end of the log */
-    struct qr_restore restore; /* its pointers belong to the store, valid until so_release */
+    bool created;        /* the folder was empty and got a new identity */
+    uint64_t identity;   /* id of the member that owns the folder */
+    uint64_t torn_bytes; /* bytes truncated from the end of the log */
+    struct qr_restore
+        restore; /* its pointers belong to the store, valid until so_free_loaded */
 };
 
 /* Opens or creates the folder and loads its state into *out. `identity` is used for a new
@@ -45,7 +46,7 @@
 struct so_store *so_open(const char *dir, const char *cluster, uint64_t identity,
                          struct so_loaded *out, struct er_err *err);
 /* Frees the data that so_loaded points to, after the core has copied it. */
-void so_release(struct so_store *s);
+void so_free_loaded(struct so_store *s);
 /* Writes one action without syncing it. A snapshot is durable on return, together with all
  * actions before it. */
 bool so_write(struct so_store *s, const struct qr_persist *p, struct er_err *err);
--- a/tests/unit/test_store.c
+++ b/tests/unit/test_store.c
@@ -200,7 +200,7 @@
     new_dir();
     fill(n);
     struct so_store *s = open_store(l, err);
-    so_release(s);
+    so_free_loaded(s);
     return s;
 }
 
@@ -409,7 +409,7 @@
     struct er_err err;
     new_dir();
     struct so_store *s = open_store(&l, &err);
-    so_release(s);
+    so_free_loaded(s);
     so_set_file_ops(s, &bad_files);
     failing.f = &sync_fails;
     failing.uses = 0;
@@ -472,7 +472,7 @@
         struct so_loaded l;
         struct er_err err;
         struct so_store *s = filled_store(3, &l, &err);
-        so_release(s);
+        so_free_loaded(s);
         so_set_file_ops(s, &bad_files);
         failing.uses = 0;
         failing.f = f;
@@ -504,7 +504,7 @@
     struct so_loaded l;
     struct er_err err = {0};
     struct so_store *s = filled_store(3, &l, &err);
-    so_release(s);
+    so_free_loaded(s);
     so_set_file_ops(s, &bad_files);
     failing.uses = 1; /* every write is refused */
     failing.f = &full;
