--- a/catalog/catalog.c
+++ b/catalog/catalog.c
@@ -103,7 +103,7 @@
         if (name[0])
             ix_set(&t->services, name, t->n_indexed);
     }
-    if (!od_go_on(&t->order, route_before, c->routes, &max))
+    if (!od_step(&t->order, route_before, c->routes, &max))
         return CG_MORE;
     for (; t->n_sorted < c->n_routes && max > 0; max--) {
         int k = t->n_sorted++;
--- a/catalog/order.c
+++ b/catalog/order.c
@@ -32,7 +32,7 @@
     o->to[o->k++] = o->from[left ? o->left++ : o->right++];
 }
 
-bool od_go_on(struct od_order *o, od_before before, const void *items, int *moves)
+bool od_step(struct od_order *o, od_before before, const void *items, int *moves)
 {
     for (; *moves > 0 && o->width < o->n; --*moves) {
         merge_next(o, before, items);
--- a/catalog/order.h
+++ b/catalog/order.h
@@ -21,7 +21,7 @@
 void od_begin(struct od_order *o, int n);
 /* Continues by at most *moves moves and subtracts them from *moves. Returns whether the sort
  * has finished. */
-bool od_go_on(struct od_order *o, od_before before, const void *items, int *moves);
+bool od_step(struct od_order *o, od_before before, const void *items, int *moves);
 void od_end(struct od_order *o);
 
 #endif
--- a/tests/unit/test_documents.c
+++ b/tests/unit/test_documents.c
@@ -115,7 +115,7 @@
         for (int i = 0; i < n; i++)
             v[i] = (int)rn_below(&rng, 20);
         od_begin(&o, n);
-        for (; !od_go_on(&o, below, v, &moves); turns++)
+        for (; !od_step(&o, below, v, &moves); turns++)
             moves = 5;
         CU_ASSERT_TRUE(turns <= n * 7 / 5 + 1);
         for (int i = 1; i < n; i++) {
