--- a/control/nodes.c
+++ b/control/nodes.c
@@ -375,7 +375,7 @@
         n->counters.grants++;
     c->leaving = r->leaving;
     c->reported_permits = c->reported_permits || r->permits_complete;
-    m.grant.knows_permits = c->reported_permits;
+    m.grant.permits_known = c->reported_permits;
     ls_acked(&n->leases, c->id, r->generation);
     note_generation(c, r->generation, now);
     send_view(c, r->generation);
--- a/entry/link.c
+++ b/entry/link.c
@@ -161,7 +161,7 @@
     if (g->generation > n->view.generation)
         return; /* the view that belongs to it has not come: no lease for an old one */
     ls_granted(&n->lease, g->seq, CK_MS(g->duration_ms));
-    if (n->px && g->knows_permits)
+    if (n->px && g->permits_known)
         px_permits_renewed(n->px, ls_sent_at(&n->lease, g->seq));
     else if (n->px)
         px_permits_tell(n->px);
--- a/wire/decode.c
+++ b/wire/decode.c
@@ -265,7 +265,7 @@
     g->hlc = get_u(r);
     g->duration_ms = get_max(r, 3600 * 1000);
     g->generation = get_u(r);
-    g->knows_permits = get_u(r) != 0; /* usually absent */
+    g->permits_known = get_u(r) != 0; /* usually absent */
 }
 
 static void get_check(struct reader *r, struct wr_check *c)
--- a/wire/encode.c
+++ b/wire/encode.c
@@ -174,12 +174,12 @@
 
 static void put_grant(msgpack_packer *pk, const struct wr_grant *g)
 {
-    put_header(pk, WR_GRANT, g->knows_permits ? 5 : 4);
+    put_header(pk, WR_GRANT, g->permits_known ? 5 : 4);
     put_u(pk, g->seq);
     put_u(pk, g->hlc);
     put_u(pk, g->duration_ms);
     put_u(pk, g->generation);
-    if (g->knows_permits)
+    if (g->permits_known)
         put_u(pk, 1);
 }
 
--- a/wire/wire.h
+++ b/wire/wire.h
@@ -100,7 +100,7 @@
     uint64_t seq, hlc;
     uint32_t duration_ms; /* counted from when the renewal was sent; 0: refused */
     uint64_t generation;
-    bool knows_permits; /* the leader got permits_complete on this connection: granted permits
+    bool permits_known; /* the leader got permits_complete on this connection: granted permits
                            stay valid */
 };
 
