--- a/admit/admit.h
+++ b/admit/admit.h
@@ -22,7 +22,9 @@
 struct ad_item {
     struct ad_item *next;
     enum ad_class cls;
-    bool first;                /* goes before other items of the same account and class */
+    /* Goes before other items of the same account and class, and takes no turn from another
+     * account. */
+    bool first;
     uint64_t account;          /* hash of the client account */
     int64_t deadline, offered; /* offered: when ad_offer queued the item */
 };
