--- a/control/peers.c
+++ b/control/peers.c
@@ -197,7 +197,7 @@
             p->net = nt_connect(n->loop, p->member.ip, p->member.port, true, &peer_ops, p);
             nt_meter(p->net, &n->peer_traffic);
             rd_dialed(&p->redial, now);
-        } else if (p->net && !p->open && rd_hangs(&p->redial, now)) {
+        } else if (p->net && !p->open && rd_connect_timed_out(&p->redial, now)) {
             rd_gave_up(&p->redial);
             nt_close(p->net, true);
         }
--- a/entry/link.c
+++ b/entry/link.c
@@ -530,7 +530,8 @@
             l->net = nt_connect(n->loop, l->peer.ip, l->peer.port, true, &link_ops, l);
             nt_meter(l->net, &n->control_traffic);
             rd_dialed(&l->line, now);
-        } else if (l->net && !l->open && rd_hangs(&l->line, nt_received_until(n->loop))) {
+        } else if (l->net && !l->open &&
+                   rd_connect_timed_out(&l->line, nt_received_until(n->loop))) {
             rd_gave_up(&l->line);
             nt_close(l->net, true);
         }
--- a/task/redial.c
+++ b/task/redial.c
@@ -11,7 +11,7 @@
     l->peer_connected = false;
 }
 
-bool rd_hangs(const struct rd_state *l, int64_t now)
+bool rd_connect_timed_out(const struct rd_state *l, int64_t now)
 {
     int64_t us = RD_FIRST_US;
     for (int i = 0; i < l->unanswered && us < RD_LONGEST_US; i++)
--- a/task/redial.h
+++ b/task/redial.h
@@ -33,7 +33,7 @@
 /* Record that a connect was started. */
 void rd_dialed(struct rd_state *l, int64_t now);
 /* Whether the pending connect has exceeded its timeout and must be abandoned. */
-bool rd_hangs(const struct rd_state *l, int64_t now);
+bool rd_connect_timed_out(const struct rd_state *l, int64_t now);
 /* Record that the peer has connected to this process: the peer is reachable, and a connect sent
  * before it started is lost. The next connect is due immediately. */
 void rd_heard(struct rd_state *l, int64_t now);
--- a/tests/unit/test_net.c
+++ b/tests/unit/test_net.c
@@ -523,22 +523,22 @@
     struct rd_state l = {0};
     CU_ASSERT(rd_due(&l, 0));
     rd_dialed(&l, 1000);
-    CU_ASSERT_FALSE(rd_hangs(&l, 1000 + 250000));
-    CU_ASSERT(rd_hangs(&l, 1001 + 250000));
+    CU_ASSERT_FALSE(rd_connect_timed_out(&l, 1000 + 250000));
+    CU_ASSERT(rd_connect_timed_out(&l, 1001 + 250000));
     rd_gave_up(&l);
     rd_closed(&l, 300000);
     CU_ASSERT_FALSE(rd_due(&l, 399999));
     CU_ASSERT(rd_due(&l, 400000));
     rd_dialed(&l, 400000);
-    CU_ASSERT_FALSE(rd_hangs(&l, 400000 + 500000));
-    CU_ASSERT(rd_hangs(&l, 400001 + 500000));
+    CU_ASSERT_FALSE(rd_connect_timed_out(&l, 400000 + 500000));
+    CU_ASSERT(rd_connect_timed_out(&l, 400001 + 500000));
     for (int i = 0; i < 20; i++)
         rd_gave_up(&l);
-    CU_ASSERT_FALSE(rd_hangs(&l, 400000 + 1000000));
-    CU_ASSERT(rd_hangs(&l, 400001 + 1000000));
+    CU_ASSERT_FALSE(rd_connect_timed_out(&l, 400000 + 1000000));
+    CU_ASSERT(rd_connect_timed_out(&l, 400001 + 1000000));
     rd_opened(&l);
     rd_dialed(&l, 5000000);
-    CU_ASSERT(rd_hangs(&l, 5000001 + 250000));
+    CU_ASSERT(rd_connect_timed_out(&l, 5000001 + 250000));
 }
 
 void net_suite(void)
