--- a/control/peers.c
+++ b/control/peers.c
@@ -220,7 +220,7 @@
     struct ct_peer *p = peer_of(n, id);
     if (!p || p->open)
         return;
-    rd_heard(&p->redial, ck_now());
+    rd_peer_connected(&p->redial, ck_now());
     if (p->net)
         nt_close(p->net, true);
 }
--- a/task/redial.c
+++ b/task/redial.c
@@ -35,7 +35,7 @@
     l->next_try = l->peer_connected ? now : now + RD_RETRY_US;
 }
 
-void rd_heard(struct rd_state *l, int64_t now)
+void rd_peer_connected(struct rd_state *l, int64_t now)
 {
     l->peer_connected = true;
     l->next_try = now;
--- a/task/redial.h
+++ b/task/redial.h
@@ -36,7 +36,7 @@
 bool rd_connect_timed_out(const struct rd_state *l, int64_t now);
 /* Record that the peer has connected to this process: the peer is reachable, and a connect sent
  * before it started is lost. The next connect is due immediately. */
-void rd_heard(struct rd_state *l, int64_t now);
+void rd_peer_connected(struct rd_state *l, int64_t now);
 /* Record that the pending connect was abandoned. */
 void rd_gave_up(struct rd_state *l);
 /* Record that the connection is open. */
--- a/tests/unit/test_net.c
+++ b/tests/unit/test_net.c
@@ -508,7 +508,7 @@
 {
     struct rd_state l = {0};
     rd_dialed(&l, 0);
-    rd_heard(&l, 120000);
+    rd_peer_connected(&l, 120000);
     rd_closed(&l, 120000); /* what was under way is given up */
     CU_ASSERT(rd_due(&l, 120000));
     rd_dialed(&l, 120000);
