--- a/ferryd/main.c
+++ b/ferryd/main.c
@@ -1,4 +1,5 @@
-/* ferryd: one daemon; its settings give its roles. */
+/* ferryd, the daemon: reads the settings, starts the entry role, the control role or both on
+ * one event loop, and stops them on a signal. Exit statuses follow sysexits.h. */
 #include <argp.h>
 #include <signal.h>
 #include <stdio.h>
@@ -13,6 +14,7 @@
 
 enum { STATUS_USAGE = 64, STATUS_CONFIG = 78, STATUS_DISK = 74, STATUS_START = 71 };
 enum { OPT_CHECK = 1000, OPT_PRINT, OPT_BOOTSTRAP, OPT_REFERENCE };
+/* Signals are handled at each poll; the settings file is checked about once a second. */
 enum { SPARE_FDS = 512, POLL_INTERVAL_US = 20000, POLLS_PER_FILE_CHECK = 50 };
 
 const char *argp_program_version = "ferryd 0.1";
@@ -30,18 +32,18 @@
     bool entry_done, control_done;
     int status;
     struct st_settings *s;
-    const char *path; /* of the settings */
+    const char *path; /* of the settings file */
     struct timespec settings_mtime;
     unsigned polls;
 };
 
 static const struct argp_option options[] = {
-    {"config", 'c', "FILE", 0, "settings, JSON (docs/SETTINGS.md)", 0},
+    {"config", 'c', "FILE", 0, "settings file, JSON (docs/SETTINGS.md)", 0},
     {"check-config", OPT_CHECK, NULL, 0, "check the settings and exit", 0},
     {"print-config", OPT_PRINT, NULL, 0, "print the settings in force, secrets hidden", 0},
     {"help-settings", OPT_REFERENCE, NULL, 0, "print the reference of all settings", 0},
     {"bootstrap", OPT_BOOTSTRAP, NULL, 0,
-     "found a new cluster: only at the very first start of its first voters", 0},
+     "create a new cluster: only for the very first start of its first voters", 0},
     {0}};
 
 static error_t parse_option(int key, char *arg, struct argp_state *st)
@@ -67,14 +69,15 @@
         if (!a->config)
             a->config = getenv(PF_SETTINGS_VARIABLE);
         if (!a->config && !a->reference)
-            argp_error(st, "--config FILE is needed, or the variable " PF_SETTINGS_VARIABLE);
+            argp_error(
+                st, "expected --config FILE or the environment variable " PF_SETTINGS_VARIABLE);
         return 0;
     default:
         return ARGP_ERR_UNKNOWN;
     }
 }
 
-static struct daemon *signaled_daemon;
+static struct daemon *signaled_daemon; /* for on_signal, which has no argument for it */
 
 static void stop_loop_if_done(struct daemon *d)
 {
@@ -88,7 +91,7 @@
     d->control_done = true;
     if (failed) {
         d->status = STATUS_DISK;
-        d->entry_done = true; /* a failed disk ends the process: it must be seen */
+        d->entry_done = true; /* end the process, so that the disk failure is noticed */
     }
     stop_loop_if_done(d);
 }
@@ -97,7 +100,7 @@
 {
     struct daemon *d = ud;
     d->entry_done = true;
-    /* The control role goes on until the entry role has finished its callers. */
+    /* The control role runs until the entry role has finished the requests of its callers. */
     if (d->control && !d->control_done)
         ct_stop(d->control);
     stop_loop_if_done(d);
@@ -114,15 +117,15 @@
     nt_wake(signaled_daemon->loop);
 }
 
-/* ---- settings that change while the daemon runs ---- */
+/* ---- reloading the settings ---- */
 
-/* Where control nodes are is taken over; the rest is used from the next start on. */
+/* Applies the addresses of control nodes. All other changes take effect at the next start. */
 static void reload(struct daemon *d)
 {
     struct st_settings new_settings;
     struct er_err err = {0};
     if (!st_load(d->path, &new_settings, &err)) {
-        FL_ERR(&d->log, "the changed settings are not taken: %s", err.text);
+        FL_ERR(&d->log, "changed settings are not applied: %s", err.text);
         return;
     }
     memcpy(d->s->voters, new_settings.voters, sizeof(new_settings.voters));
@@ -132,9 +135,10 @@
     st_free(&new_settings);
     if (d->entry)
         en_links_seeds(d->entry);
-    FL_INFO(&d->log, "settings read again: %d control nodes are named", d->s->n_voters);
+    FL_INFO(&d->log, "settings reloaded: %d control nodes listed", d->s->n_voters);
 }
 
+/* Whether the file has changed since the last call. False if stat fails. */
 static bool settings_file_changed(struct daemon *d)
 {
     struct stat st;
@@ -146,9 +150,9 @@
     return !same;
 }
 
-/* Looks for the signal on the loop's own thread. */
 static struct nt_timer poll_timer;
 
+/* Handles signals on the thread of the loop, and checks the settings file for changes. */
 static void poll_requests(void *ud)
 {
     struct daemon *d = ud;
@@ -161,7 +165,7 @@
         nt_timer_set(d->loop, &poll_timer, POLL_INTERVAL_US, poll_requests, d);
         return;
     }
-    FL_INFO(&d->log, "asked to stop");
+    FL_INFO(&d->log, "stop requested by a signal");
     if (d->entry)
         en_stop(d->entry, entry_stopped, d);
     else
@@ -176,7 +180,7 @@
     signaled_daemon = &d;
     d.s = s;
     d.path = path;
-    settings_file_changed(&d); /* what it is now is in force */
+    settings_file_changed(&d); /* stores the time of the file that is in force */
     int fds = (s->entry ? s->max_callers + 4096 : CT_MAX_CONNS + VW_MAX_GROUPS * 4) + SPARE_FDS;
     d.loop = nt_loop_create(fds, &err);
     d.entry_done = !s->entry;
@@ -190,8 +194,8 @@
         FL_FATAL(&d.log, "%s", err.text);
         return err.kind == ER_DISK || err.kind == ER_CORRUPT ? STATUS_DISK : STATUS_START;
     }
-    signal(SIGXFSZ,
-           SIG_IGN); /* a file over its limit is an error of the write, with a message */
+    /* A write beyond the file size limit then fails with an error, which is logged. */
+    signal(SIGXFSZ, SIG_IGN);
     signal(SIGTERM, on_signal);
     signal(SIGINT, on_signal);
     signal(SIGHUP, on_signal);
@@ -249,7 +253,7 @@
     if (a.print)
         print_config(&s);
     if (a.check && !a.print)
-        printf("%s: the settings are good\n", a.config);
+        printf("%s: the settings are valid\n", a.config);
     if (a.check || a.print)
         return 0;
     int status = run(&s, a.config, a.bootstrap);
--- a/include/ferrylanding/ferrylanding.h
+++ b/include/ferrylanding/ferrylanding.h
@@ -1,6 +1,6 @@
-/* libferrylanding: the coordination parts, for others to embed. Each header documents its
- * contract; none of these modules does input or output (the log's store and disk task write
- * files). */
+/* libferrylanding: the coordination modules, for embedding in other programs. Each header
+ * documents its contract. The modules do no input or output, except that the store and the disk
+ * task of the replicated log (quorum/store.h, quorum/disk.h) write files. */
 #ifndef FERRYLANDING_H
 #define FERRYLANDING_H
 
