--- a/proxy/state.c
+++ b/proxy/state.c
@@ -25,8 +25,7 @@
     while (i < s->n_values && !str_equals(s->values[i].name, name))
         i++;
     if (i == PX_MAX_VALUES)
-        return er_set(err, ER_TOO_LARGE, "a session can have at most %d values",
-                      PX_MAX_VALUES);
+        return er_set(err, ER_TOO_LARGE, "a session can have at most %d values", PX_MAX_VALUES);
     if (i == s->n_values) {
         s->values = sr_realloc(s->values, sizeof(*s->values) * (size_t)(i + 1));
         s->values[i] = (struct px_value){.name = dup_str(name)};
@@ -71,8 +70,7 @@
         return true;
     }
     if (s->n_prepared == PX_MAX_PREPARED)
-        return er_set(err, ER_TOO_LARGE,
-                      "a session can have at most %d prepared statements",
+        return er_set(err, ER_TOO_LARGE, "a session can have at most %d prepared statements",
                       PX_MAX_PREPARED);
     add_prepared(&s->prepared, &s->n_prepared, dup_str(name), shape, writes);
     return true;
--- a/proxy/state.h
+++ b/proxy/state.h
@@ -43,8 +43,7 @@
     uint64_t session; /* session whose values are set; 0: none */
     uint64_t version; /* px_state.version of the last value set here */
     int n_prepared;
-    unsigned
-        last_name; /* number in the name of the last statement prepared here */
+    unsigned last_name; /* number in the name of the last statement prepared here */
     struct px_prepared *prepared;
 };
 
