--- a/proxy/priv.h
+++ b/proxy/priv.h
@@ -598,7 +598,7 @@
 void px_conn_rollback(struct px_conn *c);
 /* The connection has no open transaction: serves other sessions. */
 void px_conn_idle(struct px_conn *c);
-/* Closes the connection; the close is reported to its session by px_lost. */
+/* Closes the connection; the close is reported to its session by px_on_conn_lost. */
 void px_conn_close(struct px_conn *c);
 void px_conn_tick(struct px_conn *c, int64_t now);
 
