--- a/limit/pool.c
+++ b/limit/pool.c
@@ -21,8 +21,7 @@
      * after one or two renewals. */
     SCARCE_RETRY_US = 300000,
     MAX_REFUSALS = 12, /* then the class may take a permit that is reserved for others */
-    /* If the next permit is expected within this time, the class that is served first waits for
-       it. */
+    /* The class that is served first waits for a permit that is expected within this time. */
     SHORT_PAUSE_US = 100000,
 };
 
