--- a/control/promotions.c
+++ b/control/promotions.c
@@ -112,7 +112,7 @@
 
 static void reached(struct ct_group *g, const char *inst)
 {
-    pr_reached(&g->pr, inst, ck_now());
+    pr_reconnected(&g->pr, inst, ck_now());
 }
 
 static void checked(struct ct_group *g, uint64_t nonce, enum pr_health health)
--- a/promote/evidence.c
+++ b/promote/evidence.c
@@ -110,7 +110,7 @@
     p->step_at = 0;
 }
 
-void pr_reached(struct pr_group *p, const char *inst, int64_t now)
+void pr_reconnected(struct pr_group *p, const char *inst, int64_t now)
 {
     struct pr_inst *in = pe_find_inst(p, inst);
     if (in)
--- a/promote/promote.h
+++ b/promote/promote.h
@@ -119,7 +119,7 @@
 void pr_promoted(struct pr_group *p, const char *inst, uint64_t term, struct ps_pos start);
 /* A connection to the instance is open again. Orders sent over the previous one are lost, so
  * they are sent again at the next tick instead of after cfg.resend_us. */
-void pr_reached(struct pr_group *p, const char *inst, int64_t now);
+void pr_reconnected(struct pr_group *p, const char *inst, int64_t now);
 /* Decides the next actions. `g` is the group in the committed view; `dropped` says that no
  * entry node acts on a view older than the change that began this phase. */
 void pr_tick(struct pr_group *p, const struct vw_group *g, bool dropped, int64_t now,
--- a/tests/unit/test_promote.c
+++ b/tests/unit/test_promote.c
@@ -92,7 +92,7 @@
     CU_ASSERT(find(PR_DO_FENCE) >= 0);
     tick(true, CK_MS(11010));
     CU_ASSERT_EQUAL(find(PR_DO_FENCE), -1); /* they are on their way */
-    pr_reached(&p, "b", CK_MS(11020));
+    pr_reconnected(&p, "b", CK_MS(11020));
     tick(true, CK_MS(11020));
     int i = find(PR_DO_FENCE);
     CU_ASSERT(i >= 0 && acts.a[i].inst == 1);
