--- a/control/promotions.c
+++ b/control/promotions.c
@@ -113,7 +113,7 @@
 
 static void connected(struct ct_group *g, const char *inst)
 {
-    pr_reached(&g->pr, inst, ck_now());
+    pr_reconnected(&g->pr, inst, ck_now());
 }
 
 static void checked(struct ct_group *g, uint64_t nonce, enum pr_health health)
