--- a/control/peers.c
+++ b/control/peers.c
@@ -198,7 +198,7 @@
             nt_meter(p->net, &n->peer_traffic);
             rd_dialed(&p->redial, now);
         } else if (p->net && !p->open && rd_connect_timed_out(&p->redial, now)) {
-            rd_gave_up(&p->redial);
+            rd_connect_abandoned(&p->redial);
             nt_close(p->net, true);
         }
     }
--- a/entry/link.c
+++ b/entry/link.c
@@ -532,7 +532,7 @@
             rd_dialed(&l->line, now);
         } else if (l->net && !l->open &&
                    rd_connect_timed_out(&l->line, nt_received_until(n->loop))) {
-            rd_gave_up(&l->line);
+            rd_connect_abandoned(&l->line);
             nt_close(l->net, true);
         }
     }
--- a/task/redial.c
+++ b/task/redial.c
@@ -19,7 +19,7 @@
     return now - l->connect_started > us;
 }
 
-void rd_gave_up(struct rd_state *l)
+void rd_connect_abandoned(struct rd_state *l)
 {
     if (l->unanswered < RD_LONGEST_US / RD_FIRST_US)
         l->unanswered++;
--- a/task/redial.h
+++ b/task/redial.h
@@ -38,7 +38,7 @@
  * before it started is lost. The next connect is due immediately. */
 void rd_peer_connected(struct rd_state *l, int64_t now);
 /* Record that the pending connect was abandoned. */
-void rd_gave_up(struct rd_state *l);
+void rd_connect_abandoned(struct rd_state *l);
 /* Record that the connection is open. */
 void rd_opened(struct rd_state *l);
 /* Record that the connection or the pending connect ended, for any reason. */
--- a/tests/unit/test_net.c
+++ b/tests/unit/test_net.c
@@ -525,7 +525,7 @@
     rd_dialed(&l, 1000);
     CU_ASSERT_FALSE(rd_connect_timed_out(&l, 1000 + 250000));
     CU_ASSERT(rd_connect_timed_out(&l, 1001 + 250000));
-    rd_gave_up(&l);
+    rd_connect_abandoned(&l);
     rd_closed(&l, 300000);
     CU_ASSERT_FALSE(rd_due(&l, 399999));
     CU_ASSERT(rd_due(&l, 400000));
@@ -533,7 +533,7 @@
     CU_ASSERT_FALSE(rd_connect_timed_out(&l, 400000 + 500000));
     CU_ASSERT(rd_connect_timed_out(&l, 400001 + 500000));
     for (int i = 0; i < 20; i++)
-        rd_gave_up(&l);
+        rd_connect_abandoned(&l);
     CU_ASSERT_FALSE(rd_connect_timed_out(&l, 400000 + 1000000));
     CU_ASSERT(rd_connect_timed_out(&l, 400001 + 1000000));
     rd_opened(&l);
