--- a/entry/entry.h
+++ b/entry/entry.h
@@ -303,7 +303,8 @@
 /* Discards the holding node's answer, because the request is answered in another way. */
 void en_upstream_forget(struct en_req *r);
 void en_upstreams_caller_closed(struct en_caller *c);
-/* Passes a holding node's answer on unchanged; `text` lacks its closing brace (cl_strip_tag). */
+/* Passes a holding node's answer on unchanged; `text` lacks its closing brace (cl_strip_tag).
+ */
 void en_relay(struct en_req *r, const char *text, size_t len, enum er_kind kind);
 
 /* txn.c */
