--- a/misc/json.c
+++ b/misc/json.c
@@ -19,7 +19,7 @@
         at->p++;
 }
 
-bool js_mark(struct js_at *at, char mark)
+bool js_accept_char(struct js_at *at, char mark)
 {
     skip_blanks(at);
     if (at->p == at->end || *at->p != mark)
@@ -96,7 +96,7 @@
 /* Parses a string of printable ASCII characters without escapes. */
 static bool parse_simple_string(struct js_at *at, struct sr_str *out)
 {
-    if (!js_mark(at, '"'))
+    if (!js_accept_char(at, '"'))
         return false;
     const char *p = at->p;
     while (p < at->end && *p >= ' ' && *p < 0x7f && *p != '"' && *p != '\\')
@@ -172,18 +172,18 @@
 
 static bool parse_simple_object(struct js_at *at, struct js_object *o)
 {
-    if (!js_mark(at, '{'))
+    if (!js_accept_char(at, '{'))
         return false;
-    if (js_mark(at, '}'))
+    if (js_accept_char(at, '}'))
         return true;
     do {
         struct sr_str key;
         if (o->n == JS_FIELDS || !parse_simple_string(at, &key) || !is_new(o, key) ||
-            !js_mark(at, ':') || !parse_simple_value(at, &o->values[o->n]))
+            !js_accept_char(at, ':') || !parse_simple_value(at, &o->values[o->n]))
             return false;
         o->keys[o->n++] = key;
-    } while (js_mark(at, ','));
-    return js_mark(at, '}');
+    } while (js_accept_char(at, ','));
+    return js_accept_char(at, '}');
 }
 
 bool js_object(struct js_at *at, struct js_object *o)
@@ -283,13 +283,13 @@
 static json_t *load_array(struct js_at *at, int depth)
 {
     json_t *a = json_array();
-    if (js_mark(at, ']'))
+    if (js_accept_char(at, ']'))
         return a;
     do {
         if (json_array_append_new(a, load(at, depth)) != 0)
             goto bad;
-    } while (js_mark(at, ','));
-    if (js_mark(at, ']'))
+    } while (js_accept_char(at, ','));
+    if (js_accept_char(at, ']'))
         return a;
 bad:
     json_decref(a);
@@ -300,7 +300,7 @@
 {
     skip_blanks(at);
     json_t *key = at->p < at->end && *at->p == '"' ? load_string(at) : NULL;
-    bool ok = key && js_mark(at, ':') &&
+    bool ok = key && js_accept_char(at, ':') &&
               json_object_set_new(o, json_string_value(key), load(at, depth)) == 0;
     json_decref(key);
     return ok;
@@ -309,13 +309,13 @@
 static json_t *load_object(struct js_at *at, int depth)
 {
     json_t *o = json_object();
-    if (js_mark(at, '}'))
+    if (js_accept_char(at, '}'))
         return o;
     do {
         if (!load_member(at, o, depth))
             goto bad;
-    } while (js_mark(at, ','));
-    if (js_mark(at, '}'))
+    } while (js_accept_char(at, ','));
+    if (js_accept_char(at, '}'))
         return o;
 bad:
     json_decref(o);
@@ -328,9 +328,9 @@
     char c = at->p < at->end ? *at->p : 0;
     if (c == '"')
         return load_string(at);
-    if (depth < MAX_FAST_DEPTH && js_mark(at, '['))
+    if (depth < MAX_FAST_DEPTH && js_accept_char(at, '['))
         return load_array(at, depth + 1);
-    if (depth < MAX_FAST_DEPTH && js_mark(at, '{'))
+    if (depth < MAX_FAST_DEPTH && js_accept_char(at, '{'))
         return load_object(at, depth + 1);
     struct sr_str s = js_slice(at);
     return json_loadb(s.p, s.len, JSON_DECODE_ANY, NULL);
--- a/misc/json.h
+++ b/misc/json.h
@@ -39,7 +39,7 @@
 };
 
 /* Skip whitespace and consume the next character if it is `mark`. Returns whether it was. */
-bool js_mark(struct js_at *at, char mark);
+bool js_accept_char(struct js_at *at, char mark);
 /* Skip whitespace and return whether the end of the text is reached. */
 bool js_ends(struct js_at *at);
 /* Returns the text of the next value. The end is found by matching brackets and quotes; the
