--- a/control/peers.c
+++ b/control/peers.c
@@ -196,7 +196,7 @@
         } else if (!p->net && rd_due(&p->redial, now)) {
             p->net = nt_connect(n->loop, p->member.ip, p->member.port, true, &peer_ops, p);
             nt_meter(p->net, &n->peer_traffic);
-            rd_dialed(&p->redial, now);
+            rd_connect_started(&p->redial, now);
         } else if (p->net && !p->open && rd_connect_timed_out(&p->redial, now)) {
             rd_connect_abandoned(&p->redial);
             nt_close(p->net, true);
--- a/entry/link.c
+++ b/entry/link.c
@@ -529,7 +529,7 @@
         if (l->used && !l->net && rd_due(&l->line, now)) {
             l->net = nt_connect(n->loop, l->peer.ip, l->peer.port, true, &link_ops, l);
             nt_meter(l->net, &n->control_traffic);
-            rd_dialed(&l->line, now);
+            rd_connect_started(&l->line, now);
         } else if (l->net && !l->open &&
                    rd_connect_timed_out(&l->line, nt_received_until(n->loop))) {
             rd_connect_abandoned(&l->line);
--- a/task/redial.c
+++ b/task/redial.c
@@ -5,7 +5,7 @@
     return now >= l->next_try;
 }
 
-void rd_dialed(struct rd_state *l, int64_t now)
+void rd_connect_started(struct rd_state *l, int64_t now)
 {
     l->connect_started = now;
     l->peer_connected = false;
--- a/task/redial.h
+++ b/task/redial.h
@@ -31,7 +31,7 @@
 /* Whether the next connect is due. Meaningful only while there is no connection. */
 bool rd_due(const struct rd_state *l, int64_t now);
 /* Record that a connect was started. */
-void rd_dialed(struct rd_state *l, int64_t now);
+void rd_connect_started(struct rd_state *l, int64_t now);
 /* Whether the pending connect has exceeded its timeout and must be abandoned. */
 bool rd_connect_timed_out(const struct rd_state *l, int64_t now);
 /* Record that the peer has connected to this process: the peer is reachable, and a connect sent
--- a/tests/unit/test_net.c
+++ b/tests/unit/test_net.c
@@ -507,11 +507,11 @@
 static void a_peer_that_is_heard_is_dialled_at_once(void)
 {
     struct rd_state l = {0};
-    rd_dialed(&l, 0);
+    rd_connect_started(&l, 0);
     rd_peer_connected(&l, 120000);
     rd_closed(&l, 120000); /* what was under way is given up */
     CU_ASSERT(rd_due(&l, 120000));
-    rd_dialed(&l, 120000);
+    rd_connect_started(&l, 120000);
     rd_closed(&l, 121000);
     CU_ASSERT_FALSE(rd_due(&l, 122000)); /* not over and over */
 }
@@ -522,14 +522,14 @@
 {
     struct rd_state l = {0};
     CU_ASSERT(rd_due(&l, 0));
-    rd_dialed(&l, 1000);
+    rd_connect_started(&l, 1000);
     CU_ASSERT_FALSE(rd_connect_timed_out(&l, 1000 + 250000));
     CU_ASSERT(rd_connect_timed_out(&l, 1001 + 250000));
     rd_connect_abandoned(&l);
     rd_closed(&l, 300000);
     CU_ASSERT_FALSE(rd_due(&l, 399999));
     CU_ASSERT(rd_due(&l, 400000));
-    rd_dialed(&l, 400000);
+    rd_connect_started(&l, 400000);
     CU_ASSERT_FALSE(rd_connect_timed_out(&l, 400000 + 500000));
     CU_ASSERT(rd_connect_timed_out(&l, 400001 + 500000));
     for (int i = 0; i < 20; i++)
@@ -537,7 +537,7 @@
     CU_ASSERT_FALSE(rd_connect_timed_out(&l, 400000 + 1000000));
     CU_ASSERT(rd_connect_timed_out(&l, 400001 + 1000000));
     rd_opened(&l);
-    rd_dialed(&l, 5000000);
+    rd_connect_started(&l, 5000000);
     CU_ASSERT(rd_connect_timed_out(&l, 5000001 + 250000));
 }
 
