--- a/misc/json.c
+++ b/misc/json.c
@@ -128,7 +128,7 @@
     if (padded || is_digit(*p) || *p == '.' || *p == 'e' || *p == 'E')
         return false;
     at->p = p;
-    v->kind = JS_WHOLE;
+    v->kind = JS_INTEGER;
     v->whole = negative ? -n : n;
     v->real = (double)v->whole;
     return true;
@@ -212,7 +212,7 @@
         v.kind = JS_TEXT;
         v.text = (struct sr_str){json_string_value(j), json_string_length(j)};
     } else if (json_is_integer(j)) {
-        v.kind = JS_WHOLE;
+        v.kind = JS_INTEGER;
         v.whole = json_integer_value(j);
     } else if (json_is_real(j)) {
         v.kind = JS_REAL;
--- a/misc/json.h
+++ b/misc/json.h
@@ -19,13 +19,13 @@
     const char *p, *end;
 };
 
-enum js_kind { JS_NONE, JS_TEXT, JS_WHOLE, JS_REAL, JS_TRUE, JS_FALSE, JS_OTHER };
+enum js_kind { JS_NONE, JS_TEXT, JS_INTEGER, JS_REAL, JS_TRUE, JS_FALSE, JS_OTHER };
 
 struct js_value {
     enum js_kind kind;
     struct sr_str text; /* JS_TEXT; valid while the object and the parsed text exist */
-    int64_t whole;      /* JS_WHOLE */
-    double real;        /* JS_WHOLE, JS_REAL */
+    int64_t whole;      /* JS_INTEGER */
+    double real;        /* JS_INTEGER, JS_REAL */
 };
 
 enum { JS_FIELDS = 24 }; /* an object with more members is parsed by jansson */
