--- a/load/check.c
+++ b/load/check.c
@@ -44,12 +44,12 @@
     struct sr_buf examples;
 };
 
-static const char *const names[] = {"own_write", "stale",   "old_primary",   "crossed",
-                                    "lost",      "doubled", "false_not_run", "torn"};
+static const char *const fault_names[] = {"own_write", "stale",   "old_primary",   "crossed",
+                                          "lost",      "doubled", "false_not_run", "torn"};
 
 const char *hc_name(enum hc_fault f)
 {
-    return names[f];
+    return fault_names[f];
 }
 
 struct hc_check *hc_create(void)
@@ -57,19 +57,19 @@
     return sr_alloc(sizeof(struct hc_check));
 }
 
-static void fault(struct hc_check *c, enum hc_fault f, const char *fmt, const char *a,
-                  const char *b, int64_t got, int64_t want)
+static void report_fault(struct hc_check *c, enum hc_fault f, const char *fmt, const char *a,
+                         const char *b, int64_t got, int64_t want)
 {
     c->faults[f]++;
     if (c->n_examples++ >= MAX_EXAMPLES)
         return;
-    sr_buf_printf(&c->examples, "%s: ", names[f]);
+    sr_buf_printf(&c->examples, "%s: ", fault_names[f]);
     char line[256];
     snprintf(line, sizeof(line), fmt, a, b, (long long)got, (long long)want);
     sr_buf_printf(&c->examples, "%s\n", line);
 }
 
-static struct key *key_of(struct hc_check *c, const char *name)
+static struct key *get_key(struct hc_check *c, const char *name)
 {
     struct key **at = &c->keys[XXH64(name, strlen(name), 1) % BUCKETS];
     for (struct key *k = *at; k; k = k->next) {
@@ -83,7 +83,7 @@
     return k;
 }
 
-static struct floor *floor_of(struct hc_check *c, int session, const char *key)
+static struct floor *get_floor(struct hc_check *c, int session, const char *key)
 {
     struct floor **at = &c->floors[XXH64(key, strlen(key), (uint64_t)session) % BUCKETS];
     for (struct floor *f = *at; f; f = f->next) {
@@ -98,7 +98,7 @@
     return f;
 }
 
-static struct write *write_of(struct hc_check *c, const char *id)
+static struct write *get_write(struct hc_check *c, const char *id)
 {
     struct write **at = &c->writes[XXH64(id, strlen(id), 2) % BUCKETS];
     for (struct write *w = *at; w; w = w->next) {
@@ -114,7 +114,7 @@
 }
 
 /* "KEY=N" for this key: N, else -1. */
-static int64_t version_in(const char *answer, const char *key)
+static int64_t parse_version(const char *answer, const char *key)
 {
     size_t n = strlen(key);
     if (strncmp(answer, key, n) != 0 || answer[n] != '=')
@@ -123,7 +123,7 @@
 }
 
 /* The highest version acknowledged at or before `at`. */
-static int64_t acked_by(const struct key *k, int64_t at)
+static int64_t acked_version_at(const struct key *k, int64_t at)
 {
     int lo = 0, hi = k->n;
     while (lo < hi) {
@@ -139,29 +139,30 @@
 void hc_read(struct hc_check *c, int session, const char *key, const char *answer, int64_t sent,
              int64_t max_age_us)
 {
-    int64_t v = version_in(answer, key);
+    int64_t v = parse_version(answer, key);
     if (v < 0) {
-        fault(c, HC_CROSSED, "asked for %s, got %s (%lld %lld)", key, answer, 0, 0);
+        report_fault(c, HC_CROSSED, "asked for %s, got %s (%lld %lld)", key, answer, 0, 0);
         return;
     }
-    struct floor *f = floor_of(c, session, key);
+    struct floor *f = get_floor(c, session, key);
     if (v < f->version)
-        fault(c, HC_OWN_WRITE, "%s%s: version %lld, the session had seen %lld", key, "", v,
-              f->version);
+        report_fault(c, HC_OWN_WRITE, "%s%s: version %lld, the session had seen %lld", key, "",
+                     v, f->version);
     else
         f->version = v;
     if (max_age_us == INT64_MAX)
         return;
     bool fresh = max_age_us < 0;
-    int64_t want = acked_by(key_of(c, key), fresh ? sent : sent - max_age_us);
+    int64_t want = acked_version_at(get_key(c, key), fresh ? sent : sent - max_age_us);
     if (v < want)
-        fault(c, fresh ? HC_OLD_PRIMARY : HC_STALE,
-              "%s%s: version %lld, %lld was acknowledged long enough before", key, "", v, want);
+        report_fault(c, fresh ? HC_OLD_PRIMARY : HC_STALE,
+                     "%s%s: version %lld, %lld was acknowledged long enough before", key, "", v,
+                     want);
 }
 
-static void note_ack(struct hc_check *c, const char *key, int64_t version, int64_t at)
+static void record_ack(struct hc_check *c, const char *key, int64_t version, int64_t at)
 {
-    struct key *k = key_of(c, key);
+    struct key *k = get_key(c, key);
     if (k->n && version <= k->acks[k->n - 1].version)
         return;
     if (k->n == k->cap) {
@@ -174,7 +175,7 @@
 void hc_write(struct hc_check *c, int session, const char *id, const char *twin,
               const char *key, enum hc_status st, const char *answer, int64_t at)
 {
-    struct write *w = write_of(c, id);
+    struct write *w = get_write(c, id);
     if (twin && !w->twin)
         w->twin = strdup(twin);
     if (st == HC_UNKNOWN)
@@ -184,15 +185,15 @@
     if (!w->acked)
         c->acked++;
     w->acked = true;
-    int64_t v = version_in(answer, key);
+    int64_t v = parse_version(answer, key);
     if (v < 0) {
-        fault(c, HC_CROSSED, "wrote %s, got %s (%lld %lld)", key, answer, 0, 0);
+        report_fault(c, HC_CROSSED, "wrote %s, got %s (%lld %lld)", key, answer, 0, 0);
         return;
     }
-    struct floor *f = floor_of(c, session, key);
+    struct floor *f = get_floor(c, session, key);
     if (v > f->version)
         f->version = v;
-    note_ack(c, key, v, at);
+    record_ack(c, key, v, at);
 }
 
 void hc_write_sent(struct hc_check *c, const char *id, const char *twin)
@@ -202,25 +203,27 @@
 
 void hc_runs(struct hc_check *c, const char *id, int64_t runs)
 {
-    write_of(c, id)->runs = runs;
+    get_write(c, id)->runs = runs;
 }
 
-static void judge(struct hc_check *c, const struct write *w)
+static void check_write(struct hc_check *c, const struct write *w)
 {
     if (w->runs < 0) {
         c->unverified++;
         return;
     }
     if (w->runs > 1)
-        fault(c, HC_DOUBLED, "%s%s ran %lld times (%lld)", w->id, "", w->runs, 1);
+        report_fault(c, HC_DOUBLED, "%s%s ran %lld times (%lld)", w->id, "", w->runs, 1);
     if (w->acked && w->runs == 0)
-        fault(c, HC_LOST, "%s%s was acknowledged, ran %lld of %lld", w->id, "", 0, 1);
+        report_fault(c, HC_LOST, "%s%s was acknowledged, ran %lld of %lld", w->id, "", 0, 1);
     if (!w->acked && !w->unknown && w->runs > 0)
-        fault(c, HC_FALSE_NOT_RUN, "%s%s ran %lld times, was told %lld", w->id, "", w->runs, 0);
+        report_fault(c, HC_FALSE_NOT_RUN, "%s%s ran %lld times, was told %lld", w->id, "",
+                     w->runs, 0);
     if (w->twin) {
-        int64_t other = write_of(c, w->twin)->runs;
+        int64_t other = get_write(c, w->twin)->runs;
         if (other >= 0 && other != w->runs)
-            fault(c, HC_TORN, "%s and %s: %lld and %lld runs", w->id, w->twin, w->runs, other);
+            report_fault(c, HC_TORN, "%s and %s: %lld and %lld runs", w->id, w->twin, w->runs,
+                         other);
     }
 }
 
@@ -228,7 +231,7 @@
 {
     for (int i = 0; i < BUCKETS; i++) {
         for (struct write *w = c->writes[i]; w; w = w->next)
-            judge(c, w);
+            check_write(c, w);
     }
 }
 
