--- a/load/check.c
+++ b/load/check.c
@@ -1,3 +1,4 @@
+/* History checker, see check.h: hash tables of keys, session floors and writes. */
 #include "load/check.h"
 
 #include <stdio.h>
@@ -13,7 +14,7 @@
     int64_t at, version;
 };
 
-/* Acknowledged versions of a key over time; both fields ascend. */
+/* Acknowledged versions of a key; `at` and `version` both ascend within acks[]. */
 struct key {
     struct key *next;
     char *name;
@@ -21,6 +22,7 @@
     int n, cap;
 };
 
+/* Minimum version of a key that a session must see from now on. */
 struct floor {
     struct floor *next;
     int session;
@@ -32,7 +34,7 @@
     struct write *next;
     char *id, *twin;
     bool acked, unknown;
-    int64_t runs; /* -1: not asked yet */
+    int64_t runs; /* run count in the database; -1 if not read yet */
 };
 
 struct hc_check {
@@ -113,7 +115,7 @@
     return w;
 }
 
-/* "KEY=N" for this key: N, else -1. */
+/* Returns N if the answer is "KEY=N" for this key, else -1. */
 static int64_t parse_version(const char *answer, const char *key)
 {
     size_t n = strlen(key);
@@ -122,7 +124,7 @@
     return strtoll(answer + n + 1, NULL, 10);
 }
 
-/* The highest version acknowledged at or before `at`. */
+/* Returns the highest version acknowledged at or before `at`, or 0. */
 static int64_t acked_version_at(const struct key *k, int64_t at)
 {
     int lo = 0, hi = k->n;
@@ -141,13 +143,15 @@
 {
     int64_t v = parse_version(answer, key);
     if (v < 0) {
-        report_fault(c, HC_CROSSED, "asked for %s, got %s (%lld %lld)", key, answer, 0, 0);
+        report_fault(c, HC_CROSSED, "read of key %s received answer %s (%lld %lld)", key,
+                     answer, 0, 0);
         return;
     }
     struct floor *f = get_floor(c, session, key);
     if (v < f->version)
-        report_fault(c, HC_OWN_WRITE, "%s%s: version %lld, the session had seen %lld", key, "",
-                     v, f->version);
+        report_fault(c, HC_OWN_WRITE,
+                     "%s%s: read version %lld, the session had already seen %lld", key, "", v,
+                     f->version);
     else
         f->version = v;
     if (max_age_us == INT64_MAX)
@@ -156,8 +160,8 @@
     int64_t want = acked_version_at(get_key(c, key), fresh ? sent : sent - max_age_us);
     if (v < want)
         report_fault(c, fresh ? HC_OLD_PRIMARY : HC_STALE,
-                     "%s%s: version %lld, %lld was acknowledged long enough before", key, "", v,
-                     want);
+                     "%s%s: read version %lld, expected at least the acknowledged %lld", key,
+                     "", v, want);
 }
 
 static void record_ack(struct hc_check *c, const char *key, int64_t version, int64_t at)
@@ -187,7 +191,8 @@
     w->acked = true;
     int64_t v = parse_version(answer, key);
     if (v < 0) {
-        report_fault(c, HC_CROSSED, "wrote %s, got %s (%lld %lld)", key, answer, 0, 0);
+        report_fault(c, HC_CROSSED, "write to key %s received answer %s (%lld %lld)", key,
+                     answer, 0, 0);
         return;
     }
     struct floor *f = get_floor(c, session, key);
@@ -213,17 +218,22 @@
         return;
     }
     if (w->runs > 1)
-        report_fault(c, HC_DOUBLED, "%s%s ran %lld times (%lld)", w->id, "", w->runs, 1);
+        report_fault(c, HC_DOUBLED, "write %s%s ran %lld times, expected %lld", w->id, "",
+                     w->runs, 1);
     if (w->acked && w->runs == 0)
-        report_fault(c, HC_LOST, "%s%s was acknowledged, ran %lld of %lld", w->id, "", 0, 1);
+        report_fault(c, HC_LOST,
+                     "write %s%s was acknowledged but ran %lld times, expected %lld", w->id, "",
+                     0, 1);
     if (!w->acked && !w->unknown && w->runs > 0)
-        report_fault(c, HC_FALSE_NOT_RUN, "%s%s ran %lld times, was told %lld", w->id, "",
+        report_fault(c, HC_FALSE_NOT_RUN,
+                     "write %s%s reported as not run ran %lld times, expected %lld", w->id, "",
                      w->runs, 0);
     if (w->twin) {
         int64_t other = get_write(c, w->twin)->runs;
         if (other >= 0 && other != w->runs)
-            report_fault(c, HC_TORN, "%s and %s: %lld and %lld runs", w->id, w->twin, w->runs,
-                         other);
+            report_fault(c, HC_TORN,
+                         "writes %s and %s of a transaction ran %lld and %lld times", w->id,
+                         w->twin, w->runs, other);
     }
 }
 
