--- a/load/answers.c
+++ b/load/answers.c
@@ -1,4 +1,5 @@
-/* Answers: records for the report and the history checker, resends, the final check. */
+/* Handles answers: records them for the report and the history checker, resends writes, and
+ * reads the run counts of all writes at the end. */
 #include "load/session.h"
 
 #include <stdio.h>
@@ -67,7 +68,7 @@
     ld_go_idle(s);
 }
 
-/* The connection broke, or the answer is `unknown`. */
+/* Ends an operation whose connection broke or whose answer is `unknown`; resends a write. */
 void ld_finish_unknown(struct session *s)
 {
     struct run *r = s->run;
@@ -99,7 +100,7 @@
     if (b)
         b->refused++;
     if (s->resends > 0 && s->resends < MAX_RESENDS) {
-        s->resends++; /* an earlier sending may have run: stay with it */
+        s->resends++; /* an earlier attempt may have run, so the outcome stays open */
         ld_try_again(s, CK_MS(retry_ms > 0 ? retry_ms : 50));
         return;
     }
@@ -165,7 +166,7 @@
     }
 }
 
-/* The session whose request this id names, if it still waits for it. */
+/* Returns the session that still waits for the answer to request `id`, or NULL. */
 struct session *ld_by_id(struct run *r, const char *id)
 {
     int no = -1;
@@ -178,7 +179,7 @@
     return NULL;
 }
 
-/* ---- verifying ---- */
+/* ---- verification ---- */
 
 void ld_verify_next(struct session *s)
 {
--- a/load/compare.c
+++ b/load/compare.c
@@ -1,4 +1,5 @@
-/* The cost of an entry node: the same reads, direct to an instance and through the node. */
+/* Measures the latency that an entry node adds: sends the same reads directly to an instance
+ * and through the node. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <sys/resource.h>
--- a/load/load.h
+++ b/load/load.h
@@ -1,4 +1,5 @@
-/* ferry-load: drives callers against entry nodes and judges what they were told. */
+/* ferry-load: sends the requests of many sessions to entry nodes, measures the answers and
+ * checks them with the history checker. */
 #ifndef FL_LOAD_LOAD_H
 #define FL_LOAD_LOAD_H
 
@@ -29,15 +30,18 @@
     char dbs[LD_MAX_DBS][48];
     int sessions, accounts, keys;
     double rate, seconds;
-    double reads, aged, txns; /* shares: reads of all, aged of the reads, transactions of all */
+    double reads, aged, txns; /* shares: reads of all operations, aged reads of all reads,
+                                 transactions of all operations */
     int age_ms, deadline_ms;
-    bool no_tokens; /* sessions forget: every read that accepts no age goes to the primary */
-    bool roam;      /* another entry node for each statement */
-    bool resend;    /* resend what was answered `unknown` with the same id, elsewhere */
+    bool
+        no_tokens; /* sessions send no tokens: a read that accepts no age goes to the primary */
+    bool roam;     /* pick a random entry node for each operation */
+    bool resend; /* resend a write with outcome `unknown` under the same id, possibly elsewhere
+                  */
     uint64_t seed;
     const char *json, *svg;
-    const char *compare; /* instance address: latency and rate direct and through the entry */
-    int requests;        /* of a comparison */
+    const char *compare; /* address of an instance to compare with the entry node */
+    int requests;        /* number of requests of a comparison */
     bool quiet;
 };
 
@@ -58,21 +62,22 @@
     int n_reasons;
     int n_buckets;
     struct ld_bucket buckets[LD_MAX_BUCKETS];
-    int64_t gap_us[LD_MAX_DBS];   /* longest time between two acknowledged writes */
-    int64_t gap_from[LD_MAX_DBS]; /* when it began, microseconds after the start */
+    int64_t gap_us[LD_MAX_DBS]; /* longest time between two acknowledged writes */
+    int64_t
+        gap_from[LD_MAX_DBS]; /* start of that gap, microseconds after the start of the load */
     int64_t last_write[LD_MAX_DBS];
     int64_t started, took_us;
-    int64_t latest_refusal_us; /* the longest a refused request was held */
+    int64_t latest_refusal_us; /* longest time from sending a request to its refusal */
 };
 
-/* Run the load; false with *err if no entry node can be reached. */
+/* Runs the load; returns false, possibly with *err set, if it could not start. */
 bool ld_run(const struct ld_opts *o, struct ld_result *r, struct hc_check *c,
             struct er_err *err);
 void ld_table(const struct ld_opts *o, const struct ld_result *r, const struct hc_check *c);
 bool ld_json(const struct ld_opts *o, const struct ld_result *r, const struct hc_check *c);
 bool ld_svg(const struct ld_opts *o, const struct ld_result *r);
 uint64_t ld_faults(const struct hc_check *c);
-/* Latency and rate of reads, direct and through an entry node; prints a table. */
+/* Measures latency and rate of reads, direct and through an entry node, and prints a table. */
 int ld_compare(const struct ld_opts *o);
 
 #endif
--- a/load/main.c
+++ b/load/main.c
@@ -1,4 +1,4 @@
-/* ferry-load: command line. */
+/* ferry-load: parses the command line, runs the load and prints the report. */
 #include <argp.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -29,21 +29,21 @@
     {"entries", 'e', "IP:PORT,...", 0, "entry nodes", 0},
     {"dbs", 'd', "NAME,...", 0, "databases", 0},
     {"sessions", 's', "N", 0, "sessions (100)", 0},
-    {"rate", 'r', "N", 0, "operations started a second (500)", 0},
-    {"seconds", 't', "N", 0, "how long (10)", 0},
+    {"rate", 'r', "N", 0, "operations started per second (500)", 0},
+    {"seconds", 't', "N", 0, "duration of the load (10)", 0},
     {"reads", 'R', "SHARE", 0, "share of reads (0.8)", 0},
     {"aged", O_AGED, "SHARE", 0, "share of the reads that accept an age (0.5)", 0},
     {"txns", 'T', "SHARE", 0, "share of transactions (0.05)", 0},
-    {"age-ms", O_AGE, "MS", 0, "the age accepted (500)", 0},
+    {"age-ms", O_AGE, "MS", 0, "maximum age accepted by aged reads (500)", 0},
     {"deadline-ms", O_DEADLINE, "MS", 0, "deadline of each request (3000)", 0},
     {"keys", O_KEYS, "N", 0, "keys in a database (200)", 0},
     {"accounts", O_ACCOUNTS, "N", 0, "client accounts (8)", 0},
     {"no-tokens", O_FORGET, NULL, 0, "sessions send no tokens", 0},
     {"stay", O_STAY, NULL, 0, "sessions stay on one entry node", 0},
-    {"resend", O_RESEND, NULL, 0, "resend what was answered unknown, same id, elsewhere", 0},
+    {"resend", O_RESEND, NULL, 0, "resend writes of unknown outcome with the same id", 0},
     {"seed", O_SEED, "N", 0, "seed of the random choices (1)", 0},
     {"json", O_JSON, "FILE", 0, "write the report as JSON", 0},
-    {"svg", O_SVG, "FILE", 0, "write a picture", 0},
+    {"svg", O_SVG, "FILE", 0, "write the chart as SVG", 0},
     {"compare", O_COMPARE, "IP:PORT", 0,
      "measure reads direct to this instance and through "
      "the first entry node",
@@ -173,8 +173,9 @@
                                .seed = 1,
                                .requests = 20000};
     static struct ld_result r;
-    struct argp argp = {options, parse, NULL, "Load and judge for ferrylanding.",
-                        NULL,    NULL,  NULL};
+    struct argp argp = {
+        options, parse, NULL, "Load generator and history checker for ferrylanding.",
+        NULL,    NULL,  NULL};
     argp_err_exit_status = EXIT_USAGE_;
     argp_parse(&argp, argc, argv, 0, NULL, &o);
     if (o.compare)
--- a/load/report.c
+++ b/load/report.c
@@ -1,3 +1,4 @@
+/* Reports of a load: table, JSON file and SVG chart. */
 #include <stdio.h>
 
 #include <jansson.h>
@@ -102,7 +103,7 @@
     return ok;
 }
 
-/* ---- a picture: acknowledged writes and worst latency over time ---- */
+/* ---- SVG chart: acknowledged writes and worst latency over time ---- */
 
 enum { W = 960, H = 320, LEFT = 50, BASE = 280, TOP = 30 };
 
--- a/load/run.c
+++ b/load/run.c
@@ -1,4 +1,5 @@
-/* Connections and time of a load. */
+/* Connections and timing of a load: connects, starts operations at the requested rate, then
+ * verifies the writes. */
 #include "load/session.h"
 
 #include <stdio.h>
@@ -88,7 +89,7 @@
     }
 }
 
-/* ---- time ---- */
+/* ---- timing ---- */
 
 static void start_due(struct run *r, int64_t now)
 {
@@ -135,7 +136,7 @@
     nt_timer_set(r->loop, &r->tick, TICK_US, tick, r);
 }
 
-/* A write still unanswered at the end may have run. */
+/* A write that is still unanswered at the end may have run. */
 static void note_unanswered(struct run *r)
 {
     for (int i = 0; i < r->o->sessions; i++) {
--- a/load/sending.c
+++ b/load/sending.c
@@ -1,4 +1,4 @@
-/* Choosing operations and sending their steps. */
+/* Chooses operations and sends their requests. */
 #include "load/session.h"
 
 #include <stdio.h>
@@ -50,7 +50,7 @@
 void ld_note_write_gap(struct run *r, int db, int64_t now)
 {
     struct ld_result *x = r->r;
-    /* After the end nothing new is written: late resends are no gap. */
+    /* No new writes start after the end, so the time between late resends is not a gap. */
     if (now > r->end && r->start)
         return;
     int64_t gap = x->last_write[db] ? now - x->last_write[db] : 0;
@@ -69,7 +69,7 @@
     int first = r->o->roam ? (int)rn_below(&r->rng, (uint64_t)n) : s->no % n;
     for (int k = 0; k < n; k++) {
         struct conn *c = &r->conns[(first + k) % n][s->no % LD_CONNS];
-        /* As the platform's balancer: a node that does not answer gets nothing new. */
+        /* The platform's load balancer also sends no new requests to an unresponsive node. */
         bool silent = c->waits_since && ck_now() - c->waits_since > SILENT_US;
         if (c->open && !c->leaving && !silent)
             return c;
@@ -77,7 +77,8 @@
     return NULL;
 }
 
-/* A node that stops has asked to be left: close once it owes nothing. */
+/* Closes the connection to a stopping node once no session waits for it or has a transaction
+ * open on it. */
 void ld_maybe_leave(struct conn *c)
 {
     bool pinned = false;
@@ -95,7 +96,7 @@
     const struct ld_opts *o = r->o;
     char rid[96];
     s->n = ++r->seq;
-    /* The id of a write is the same at every resend; other ids carry their number. */
+    /* A write or commit keeps its id on every resend; other ids contain the request number. */
     bool claim = strcmp(kind, "write") == 0 ? !s->txn[0] : strcmp(kind, "commit") == 0;
     if (claim)
         snprintf(rid, sizeof(rid), "%s", s->id);
@@ -178,7 +179,7 @@
         s->again_at = 0;
         ld_send_step(s);
     } else {
-        s->again_at = ck_now() + RECONNECT_US; /* no entry node is there */
+        s->again_at = ck_now() + RECONNECT_US; /* no entry node is reachable */
     }
 }
 
@@ -207,7 +208,7 @@
         s->aged = chance(r) < o->aged;
     } else {
         s->op = dice < o->reads + o->txns ? OP_TXN : OP_WRITE;
-        /* Unlike in any other run: the system remembers ids for minutes. */
+        /* The nonce keeps ids distinct between runs: the proxy remembers ids for minutes. */
         snprintf(s->id, sizeof(s->id), "w%d.%d.%llu.%llx", s->db, s->no,
                  (unsigned long long)++r->seq, (unsigned long long)r->nonce);
         snprintf(s->twin, sizeof(s->twin), "%s.t", s->id);
--- a/load/session.h
+++ b/load/session.h
@@ -1,4 +1,5 @@
-/* The sessions of a load, shared by its parts: sending, answers, run. */
+/* State of a running load, shared by sending.c, answers.c and run.c. Times are in microseconds
+ * of the monotonic clock. */
 #ifndef FL_LOAD_SESSION_H
 #define FL_LOAD_SESSION_H
 
@@ -26,21 +27,21 @@
     struct run *run;
     int entry;
     struct nt_conn *net;
-    bool open, leaving;            /* leaving: the node stops; nothing new goes there */
-    int64_t next_try, waits_since; /* since when it owes an answer; 0 it does not */
+    bool open, leaving;            /* leaving: the node announced its stop; no new requests */
+    int64_t next_try, waits_since; /* waits_since: start of waiting for an answer; 0 if not */
 };
 
 struct session {
     struct run *run;
     int no;
     char tokens[LD_MAX_DBS][80];
-    /* the operation under way */
+    /* state of the current operation */
     bool busy, waiting;
     enum op op;
-    int step; /* of a transaction */
+    int step; /* of a transaction: 0 begin, 1 and 2 writes, 3 commit */
     int db, key;
-    uint64_t n;  /* number of the request under way */
-    char id[64]; /* of the write */
+    uint64_t n;  /* number of the current request */
+    char id[64]; /* id of the write */
     char twin[72];
     char txn[64];
     struct conn *conn;
