--- a/load/answers.c
+++ b/load/answers.c
@@ -13,28 +13,28 @@
 
 /* ---- answers ---- */
 
-const char *ld_twin_of(const struct session *s)
+const char *ld_twin_id(const struct session *s)
 {
     return s->op == OP_TXN ? s->twin : NULL;
 }
 
-void ld_try_again(struct session *s, int64_t in_us)
+void ld_retry_in(struct session *s, int64_t in_us)
 {
     s->waiting = false;
-    s->again_at = ck_now() + in_us;
+    s->retry_at = ck_now() + in_us;
 }
 
-static void write_result(struct session *s, enum hc_status st, const char *value)
+static void record_write_result(struct session *s, enum hc_status st, const char *value)
 {
     struct run *r = s->run;
     char key[32];
     ld_key_name(s, key, sizeof(key));
     int64_t now = ck_now();
-    hc_write(r->c, s->no, s->id, ld_twin_of(s), key, st, value, now);
+    hc_write(r->c, s->no, s->id, ld_twin_id(s), key, st, value, now);
     if (s->op == OP_TXN)
         hc_write(r->c, s->no, s->twin, s->id, key, st, value, now);
     if (st == HC_OK)
-        ld_note_write_gap(r, s->db, now);
+        ld_update_write_gap(r, s->db, now);
 }
 
 static void finish_ok(struct session *s, const char *value, bool replica, bool duplicate)
@@ -55,7 +55,7 @@
         x->aged_ok += s->aged;
         x->aged_replica += s->aged && replica;
     } else {
-        write_result(s, HC_OK, value);
+        record_write_result(s, HC_OK, value);
         hi_add(s->op == OP_TXN ? &x->txns : &x->writes, took);
     }
     struct ld_bucket *b = ld_bucket(r, now);
@@ -74,12 +74,12 @@
     struct run *r = s->run;
     bool committing = s->op == OP_WRITE || (s->op == OP_TXN && s->step == 3);
     if (committing)
-        write_result(s, HC_UNKNOWN, "");
+        record_write_result(s, HC_UNKNOWN, "");
     bool again = committing && r->o->resend && s->resends < MAX_RESENDS;
     if (again) {
         s->resends++;
         r->r->resent++;
-        ld_try_again(s, RESEND_US);
+        ld_retry_in(s, RESEND_US);
         return;
     }
     ld_go_idle(s);
@@ -91,7 +91,7 @@
     struct run *r = s->run;
     bool not_run = strcmp(status, "not_run") == 0;
     int64_t now = ck_now();
-    ld_note_reason(r, reason);
+    ld_count_reason(r, reason);
     r->r->not_run += not_run;
     r->r->rejected += !not_run;
     if (now - s->sent > r->r->latest_refusal_us)
@@ -101,11 +101,11 @@
         b->refused++;
     if (s->resends > 0 && s->resends < MAX_RESENDS) {
         s->resends++; /* an earlier attempt may have run, so the outcome stays open */
-        ld_try_again(s, CK_MS(retry_ms > 0 ? retry_ms : 50));
+        ld_retry_in(s, CK_MS(retry_ms > 0 ? retry_ms : 50));
         return;
     }
     if (s->op != OP_READ)
-        write_result(s, not_run ? HC_NOT_RUN : HC_REJECTED, "");
+        record_write_result(s, not_run ? HC_NOT_RUN : HC_REJECTED, "");
     ld_go_idle(s);
 }
 
@@ -114,7 +114,7 @@
     struct run *r = s->run;
     size_t n = strlen(s->id);
     if (strcmp(status, "ok") != 0 || strncmp(value, s->id, n) != 0 || value[n] != '=') {
-        ld_try_again(s, VERIFY_RETRY_US);
+        ld_retry_in(s, VERIFY_RETRY_US);
         return;
     }
     hc_runs(r->c, s->id, strtoll(value + n + 1, NULL, 10));
@@ -158,7 +158,7 @@
         else
             finish_ok(s, value, json_is_true(json_object_get(a, "replica")), duplicate);
     } else if (strcmp(status, "unknown") == 0) {
-        ld_note_reason(r, reason ? reason : "?");
+        ld_count_reason(r, reason ? reason : "?");
         r->r->unknown++;
         ld_finish_unknown(s);
     } else {
@@ -167,7 +167,7 @@
 }
 
 /* Returns the session that still waits for the answer to request `id`, or NULL. */
-struct session *ld_by_id(struct run *r, const char *id)
+struct session *ld_find_waiting(struct run *r, const char *id)
 {
     int no = -1;
     unsigned long long n = 0;
--- a/load/compare.c
+++ b/load/compare.c
@@ -10,31 +10,31 @@
 #include "load/load.h"
 #include "misc/clock.h"
 
-enum { WARM = 500, WIDE = 16 };
+enum { WARMUP_REQUESTS = 500, MAX_IN_FLIGHT = 16 };
 
-struct side {
+struct measurement {
     struct nt_loop *loop;
     const struct ld_opts *o;
     bool direct;
-    int lanes; /* requests outstanding at once */
-    int left, done;
+    int in_flight; /* requests outstanding at once */
+    int total, done;
     struct hi_hist h;
-    int64_t began, took;
-    struct ep_conn *ep[WIDE];
-    struct nt_conn *net[WIDE];
-    int64_t sent[WIDE];
-    struct lane {
-        struct side *side;
+    int64_t started, took;
+    struct ep_conn *ep[MAX_IN_FLIGHT];
+    struct nt_conn *net[MAX_IN_FLIGHT];
+    int64_t sent[MAX_IN_FLIGHT];
+    struct slot {
+        struct measurement *measurement;
         int no;
-    } lane[WIDE];
+    } slot[MAX_IN_FLIGHT];
 };
 
-static void send_one(struct side *s, int lane)
+static void send_one(struct measurement *s, int slot)
 {
-    s->sent[lane] = ck_now();
+    s->sent[slot] = ck_now();
     if (s->direct) {
         struct ep_request q = {.op = EP_READ, .id = 1, .stmt = SR_LIT("get d0k1")};
-        s->ep[lane]->driver->send(s->ep[lane], &q);
+        s->ep[slot]->driver->send(s->ep[slot], &q);
         return;
     }
     char text[256];
@@ -42,38 +42,38 @@
                      "{\"id\":\"c\",\"account\":\"a\",\"db\":\"%s\",\"kind\":\"read\","
                      "\"stmt\":\"get d0k1\",\"deadline_ms\":5000}",
                      s->o->dbs[0]);
-    nt_send(s->net[lane], text, (size_t)n);
+    nt_send(s->net[slot], text, (size_t)n);
 }
 
-static void got_one(struct side *s, int lane)
+static void on_reply(struct measurement *s, int slot)
 {
     int64_t now = ck_now();
     s->done++;
-    if (s->done == WARM)
-        s->began = now;
-    if (s->done > WARM)
-        hi_add(&s->h, now - s->sent[lane]);
-    if (s->done >= s->left) {
-        s->took = now - s->began;
+    if (s->done == WARMUP_REQUESTS)
+        s->started = now;
+    if (s->done > WARMUP_REQUESTS)
+        hi_add(&s->h, now - s->sent[slot]);
+    if (s->done >= s->total) {
+        s->took = now - s->started;
         nt_stop(s->loop);
         return;
     }
-    send_one(s, lane);
+    send_one(s, slot);
 }
 
 static void ep_opened(struct ep_conn *c, void *ud)
 {
-    struct lane *l = ud;
+    struct slot *l = ud;
     (void)c;
-    send_one(l->side, l->no);
+    send_one(l->measurement, l->no);
 }
 
 static void ep_replied(struct ep_conn *c, void *ud, const struct ep_reply *r)
 {
-    struct lane *l = ud;
+    struct slot *l = ud;
     (void)c;
     (void)r;
-    got_one(l->side, l->no);
+    on_reply(l->measurement, l->no);
 }
 
 static void ep_closed(struct ep_conn *c, void *ud, bool opened, bool refused)
@@ -88,18 +88,18 @@
 
 static void net_opened(struct nt_conn *c, void *ud)
 {
-    struct lane *l = ud;
+    struct slot *l = ud;
     (void)c;
-    send_one(l->side, l->no);
+    send_one(l->measurement, l->no);
 }
 
 static void net_message(struct nt_conn *c, void *ud, const char *data, size_t len)
 {
-    struct lane *l = ud;
+    struct slot *l = ud;
     (void)c;
     (void)data;
     (void)len;
-    got_one(l->side, l->no);
+    on_reply(l->measurement, l->no);
 }
 
 static const struct nt_ops net_ops = {net_opened, net_message, NULL};
@@ -112,7 +112,7 @@
     (void)refused;
 }
 
-static bool run_side(struct side *s)
+static bool run_measurement(struct measurement *s)
 {
     static struct nt_ops ops;
     struct er_err err = {0};
@@ -124,25 +124,25 @@
     snprintf(inst.ip, sizeof(inst.ip), "%.*s", (int)(colon - s->o->compare), s->o->compare);
     inst.port = atoi(colon + 1);
     struct ep_target to = {inst.ip, inst.port, "", ""};
-    s->left = s->o->requests + WARM;
-    for (int i = 0; i < s->lanes; i++) {
-        s->lane[i] = (struct lane){s, i};
+    s->total = s->o->requests + WARMUP_REQUESTS;
+    for (int i = 0; i < s->in_flight; i++) {
+        s->slot[i] = (struct slot){s, i};
         if (s->direct)
-            s->ep[i] = ep_ws.open(s->loop, &to, "bench", &ep_events, &s->lane[i]);
+            s->ep[i] = ep_ws.open(s->loop, &to, "bench", &ep_events, &s->slot[i]);
         else
             s->net[i] = nt_connect(s->loop, s->o->entries[0].ip, s->o->entries[0].port, false,
-                                   &ops, &s->lane[i]);
+                                   &ops, &s->slot[i]);
     }
     nt_run(s->loop);
     return s->h.count > 0;
 }
 
-static struct side measure(const struct ld_opts *o, bool direct, int lanes)
+static struct measurement measure(const struct ld_opts *o, bool direct, int in_flight)
 {
-    struct side s = {.o = o, .direct = direct, .lanes = lanes};
-    run_side(&s);
+    struct measurement s = {.o = o, .direct = direct, .in_flight = in_flight};
+    run_measurement(&s);
     printf("%-22s %2d at once   p50 %6lld us   p99 %6lld us   %9.0f /s\n",
-           direct ? "direct to the instance" : "through the entry node", lanes,
+           direct ? "direct to the instance" : "through the entry node", in_flight,
            (long long)hi_quantile(&s.h, 0.5), (long long)hi_quantile(&s.h, 0.99),
            s.took ? (double)s.h.count * 1e6 / (double)s.took : 0.0);
     return s;
@@ -150,8 +150,9 @@
 
 int ld_compare(const struct ld_opts *o)
 {
-    struct side d1 = measure(o, true, 1), e1 = measure(o, false, 1);
-    struct side dn = measure(o, true, WIDE), en = measure(o, false, WIDE);
+    struct measurement d1 = measure(o, true, 1), e1 = measure(o, false, 1);
+    struct measurement dn = measure(o, true, MAX_IN_FLIGHT),
+                       en = measure(o, false, MAX_IN_FLIGHT);
     double rd = (double)dn.h.count / (double)(dn.took ? dn.took : 1);
     double re = (double)en.h.count / (double)(en.took ? en.took : 1);
     printf("added by the entry node: p50 %lld us, p99 %lld us; rate %.2f of direct\n",
--- a/load/main.c
+++ b/load/main.c
@@ -20,7 +20,7 @@
     O_SVG,
     O_COMPARE,
     O_REQUESTS,
-    O_FORGET
+    O_NO_TOKENS
 };
 
 const char *argp_program_version = "ferry-load 0.1";
@@ -38,7 +38,7 @@
     {"deadline-ms", O_DEADLINE, "MS", 0, "deadline of each request (3000)", 0},
     {"keys", O_KEYS, "N", 0, "keys in a database (200)", 0},
     {"accounts", O_ACCOUNTS, "N", 0, "client accounts (8)", 0},
-    {"no-tokens", O_FORGET, NULL, 0, "sessions send no tokens", 0},
+    {"no-tokens", O_NO_TOKENS, NULL, 0, "sessions send no tokens", 0},
     {"stay", O_STAY, NULL, 0, "sessions stay on one entry node", 0},
     {"resend", O_RESEND, NULL, 0, "resend writes of unknown outcome with the same id", 0},
     {"seed", O_SEED, "N", 0, "seed of the random choices (1)", 0},
@@ -52,8 +52,8 @@
     {0}};
 
 /* Calls fn for each comma-separated part. */
-static void parts(const char *list, void (*fn)(struct ld_opts *, struct sr_str),
-                  struct ld_opts *o)
+static void for_each_item(const char *list, void (*fn)(struct ld_opts *, struct sr_str),
+                          struct ld_opts *o)
 {
     while (*list) {
         size_t n = strcspn(list, ",");
@@ -83,10 +83,10 @@
     struct ld_opts *o = st->input;
     switch (key) {
     case 'e':
-        parts(arg, add_entry, o);
+        for_each_item(arg, add_entry, o);
         break;
     case 'd':
-        parts(arg, add_db, o);
+        for_each_item(arg, add_db, o);
         break;
     case 's':
         o->sessions = atoi(arg);
@@ -118,7 +118,7 @@
     case O_ACCOUNTS:
         o->accounts = atoi(arg);
         break;
-    case O_FORGET:
+    case O_NO_TOKENS:
         o->no_tokens = true;
         break;
     case O_STAY:
@@ -191,7 +191,7 @@
         fprintf(stderr, "ferry-load: %s: can't be written\n", o.json);
     if (o.svg && !ld_svg(&o, &r))
         fprintf(stderr, "ferry-load: %s: can't be written\n", o.svg);
-    bool bad = ld_faults(c) > 0 || hc_unverified(c) > 0;
+    bool failed = ld_faults(c) > 0 || hc_unverified(c) > 0;
     hc_destroy(c);
-    return bad ? EXIT_FAULTS : 0;
+    return failed ? EXIT_FAULTS : 0;
 }
--- a/load/report.c
+++ b/load/report.c
@@ -107,14 +107,14 @@
 
 enum { W = 960, H = 320, LEFT = 50, BASE = 280, TOP = 30 };
 
-static void curve(FILE *f, const struct ld_result *r, const char *color, bool latency,
-                  double most)
+static void draw_curve(FILE *f, const struct ld_result *r, const char *color, bool latency,
+                       double max_value)
 {
     fprintf(f, "<polyline fill='none' stroke='%s' stroke-width='1.5' points='", color);
     for (int i = 0; i < r->n_buckets; i++) {
         double v = latency ? (double)r->buckets[i].worst_us : r->buckets[i].writes_ok;
         double x = LEFT + (double)(W - LEFT - 20) * i / (r->n_buckets > 1 ? r->n_buckets : 2);
-        double y = BASE - (BASE - TOP) * (most > 0 ? v / most : 0);
+        double y = BASE - (BASE - TOP) * (max_value > 0 ? v / max_value : 0);
         fprintf(f, "%.1f,%.1f ", x, y);
     }
     fprintf(f, "'/>\n");
@@ -125,12 +125,12 @@
     FILE *f = fopen(o->svg, "w");
     if (!f)
         return false;
-    double most_w = 1, most_l = 1;
+    double max_writes = 1, max_latency = 1;
     for (int i = 0; i < r->n_buckets; i++) {
-        if (r->buckets[i].writes_ok > most_w)
-            most_w = r->buckets[i].writes_ok;
-        if ((double)r->buckets[i].worst_us > most_l)
-            most_l = (double)r->buckets[i].worst_us;
+        if (r->buckets[i].writes_ok > max_writes)
+            max_writes = r->buckets[i].writes_ok;
+        if ((double)r->buckets[i].worst_us > max_latency)
+            max_latency = (double)r->buckets[i].worst_us;
     }
     fprintf(f,
             "<svg xmlns='http://www.w3.org/2000/svg' width='%d' height='%d' "
@@ -141,15 +141,15 @@
             "<text x='%d' y='18' fill='#1565c0'>acknowledged writes per %d ms (most "
             "%.0f)</text><text x='%d' y='18' fill='#c62828'>worst latency (most %.0f "
             "ms)</text>\n",
-            LEFT, LD_BUCKET_MS, most_w, W / 2, most_l / 1000.0);
+            LEFT, LD_BUCKET_MS, max_writes, W / 2, max_latency / 1000.0);
     fprintf(f, "<line x1='%d' y1='%d' x2='%d' y2='%d' stroke='#888'/>\n", LEFT, BASE, W - 20,
             BASE);
     int seconds = r->n_buckets * LD_BUCKET_MS / 1000;
     for (int s = 0; s <= seconds; s++)
         fprintf(f, "<text x='%.0f' y='%d' fill='#555'>%d s</text>\n",
                 LEFT + (double)(W - LEFT - 20) * s / (seconds > 0 ? seconds : 1), BASE + 18, s);
-    curve(f, r, "#1565c0", false, most_w);
-    curve(f, r, "#c62828", true, most_l);
+    draw_curve(f, r, "#1565c0", false, max_writes);
+    draw_curve(f, r, "#c62828", true, max_latency);
     fprintf(f, "</svg>\n");
     return fclose(f) == 0;
 }
--- a/load/run.c
+++ b/load/run.c
@@ -23,14 +23,14 @@
     struct conn *c = ud;
     (void)net;
     json_t *a = json_loadb(data, len, 0, NULL);
-    c->waits_since = 0;
-    c->leaving = c->leaving || json_object_get(a, "notice");
-    struct session *s = ld_by_id(c->run, json_string_value(json_object_get(a, "id")));
+    c->waiting_since = 0;
+    c->stopping = c->stopping || json_object_get(a, "notice");
+    struct session *s = ld_find_waiting(c->run, json_string_value(json_object_get(a, "id")));
     if (s && s->conn == c)
         ld_on_answer(c->run, s, a);
     json_decref(a);
-    if (c->leaving)
-        ld_maybe_leave(c);
+    if (c->stopping)
+        ld_close_if_drained(c);
 }
 
 static void conn_close(struct nt_conn *net, void *ud, bool opened, bool refused)
@@ -41,8 +41,8 @@
     (void)opened;
     (void)refused;
     c->net = NULL;
-    c->open = c->leaving = false;
-    c->waits_since = 0;
+    c->open = c->stopping = false;
+    c->waiting_since = 0;
     c->next_try = ck_now() + RECONNECT_US;
     for (int i = 0; i < r->o->sessions; i++) {
         struct session *s = &r->s[i];
@@ -50,7 +50,7 @@
             continue;
         s->waiting = false;
         if (s->op == OP_VERIFY) {
-            ld_try_again(s, VERIFY_RETRY_US);
+            ld_retry_in(s, VERIFY_RETRY_US);
             continue;
         }
         r->r->no_answer++;
@@ -120,7 +120,7 @@
     }
     for (int i = 0; i < r->o->sessions; i++) {
         struct session *s = &r->s[i];
-        if (s->busy && s->again_at && now >= s->again_at)
+        if (s->busy && s->retry_at && now >= s->retry_at)
             ld_start_on_conn(s);
     }
     if (!r->verifying && now < r->end)
@@ -137,12 +137,12 @@
 }
 
 /* A write that is still unanswered at the end may have run. */
-static void note_unanswered(struct run *r)
+static void record_unanswered(struct run *r)
 {
     for (int i = 0; i < r->o->sessions; i++) {
         struct session *s = &r->s[i];
         if (s->busy && s->op != OP_READ && s->op != OP_VERIFY)
-            hc_write_sent(r->c, s->id, ld_twin_of(s));
+            hc_write_sent(r->c, s->id, ld_twin_id(s));
     }
 }
 
@@ -169,7 +169,7 @@
     tick(r);
     nt_run(r->loop);
     bool ran = r->start != 0;
-    note_unanswered(r);
+    record_unanswered(r);
     hc_finish(c);
     for (int i = 0; i < r->n_ids; i++)
         free(r->ids[i]);
--- a/load/sending.c
+++ b/load/sending.c
@@ -10,7 +10,7 @@
 #include "misc/clock.h"
 #include "misc/str.h"
 
-static double chance(struct run *r)
+static double random_share(struct run *r)
 {
     return (double)rn_below(&r->rng, 1000000) / 1e6;
 }
@@ -32,7 +32,7 @@
     return &r->r->buckets[b];
 }
 
-void ld_note_reason(struct run *r, const char *reason)
+void ld_count_reason(struct run *r, const char *reason)
 {
     struct ld_result *x = r->r;
     for (int i = 0; i < x->n_reasons; i++) {
@@ -47,7 +47,7 @@
     x->reasons[x->n_reasons++].n = 1;
 }
 
-void ld_note_write_gap(struct run *r, int db, int64_t now)
+void ld_update_write_gap(struct run *r, int db, int64_t now)
 {
     struct ld_result *x = r->r;
     /* No new writes start after the end, so the time between late resends is not a gap. */
@@ -70,8 +70,8 @@
     for (int k = 0; k < n; k++) {
         struct conn *c = &r->conns[(first + k) % n][s->no % LD_CONNS];
         /* The platform's load balancer also sends no new requests to an unresponsive node. */
-        bool silent = c->waits_since && ck_now() - c->waits_since > SILENT_US;
-        if (c->open && !c->leaving && !silent)
+        bool unresponsive = c->waiting_since && ck_now() - c->waiting_since > UNRESPONSIVE_US;
+        if (c->open && !c->stopping && !unresponsive)
             return c;
     }
     return NULL;
@@ -79,14 +79,14 @@
 
 /* Closes the connection to a stopping node once no session waits for it or has a transaction
  * open on it. */
-void ld_maybe_leave(struct conn *c)
+void ld_close_if_drained(struct conn *c)
 {
-    bool pinned = false;
+    bool in_use = false;
     for (int i = 0; i < c->run->o->sessions; i++) {
         const struct session *s = &c->run->s[i];
-        pinned = pinned || (s->busy && s->conn == c && (s->waiting || s->txn[0]));
+        in_use = in_use || (s->busy && s->conn == c && (s->waiting || s->txn[0]));
     }
-    if (c->leaving && !pinned && c->net)
+    if (c->stopping && !in_use && c->net)
         nt_close(c->net, false);
 }
 
@@ -97,8 +97,8 @@
     char rid[96];
     s->n = ++r->seq;
     /* A write or commit keeps its id on every resend; other ids contain the request number. */
-    bool claim = strcmp(kind, "write") == 0 ? !s->txn[0] : strcmp(kind, "commit") == 0;
-    if (claim)
+    bool keeps_id = strcmp(kind, "write") == 0 ? !s->txn[0] : strcmp(kind, "commit") == 0;
+    if (keeps_id)
         snprintf(rid, sizeof(rid), "%s", s->id);
     else
         snprintf(rid, sizeof(rid), "r%d.%llu", s->no, (unsigned long long)s->n);
@@ -113,7 +113,7 @@
         json_object_set_new(q, "txn", json_string(s->txn));
     if (s->tokens[s->db][0] && s->op != OP_VERIFY)
         json_object_set_new(q, "token", json_string(s->tokens[s->db]));
-    if (claim && s->resends > 0)
+    if (keeps_id && s->resends > 0)
         json_object_set_new(q, "resend", json_true());
     if (s->aged && s->op == OP_READ)
         json_object_set_new(q, "age_ms", json_integer(o->age_ms));
@@ -122,8 +122,8 @@
     s->sent = ck_now();
     s->waiting = true;
     r->r->sent += s->op != OP_VERIFY;
-    if (!s->conn->waits_since)
-        s->conn->waits_since = s->sent;
+    if (!s->conn->waiting_since)
+        s->conn->waiting_since = s->sent;
     nt_send(s->conn->net, text, strlen(text));
     free(text);
 }
@@ -176,14 +176,14 @@
     s->step = 0;
     s->txn[0] = 0;
     if (s->conn) {
-        s->again_at = 0;
+        s->retry_at = 0;
         ld_send_step(s);
     } else {
-        s->again_at = ck_now() + RECONNECT_US; /* no entry node is reachable */
+        s->retry_at = ck_now() + RECONNECT_US; /* no entry node is reachable */
     }
 }
 
-static void remember_id(struct run *r, const char *id)
+static void record_id(struct run *r, const char *id)
 {
     if (r->n_ids == r->cap_ids) {
         r->cap_ids = r->cap_ids ? r->cap_ids * 2 : 1024;
@@ -195,7 +195,7 @@
 void ld_start_op(struct run *r, struct session *s, int64_t intended)
 {
     const struct ld_opts *o = r->o;
-    double dice = chance(r);
+    double draw = random_share(r);
     s->busy = true;
     s->intended = intended;
     s->resends = 0;
@@ -203,18 +203,18 @@
     s->db = (int)rn_below(&r->rng, (uint64_t)o->n_dbs);
     s->key = (int)rn_below(&r->rng, (uint64_t)o->keys);
     s->had_token = s->tokens[s->db][0] != 0;
-    if (dice < o->reads) {
+    if (draw < o->reads) {
         s->op = OP_READ;
-        s->aged = chance(r) < o->aged;
+        s->aged = random_share(r) < o->aged;
     } else {
-        s->op = dice < o->reads + o->txns ? OP_TXN : OP_WRITE;
+        s->op = draw < o->reads + o->txns ? OP_TXN : OP_WRITE;
         /* The nonce keeps ids distinct between runs: the proxy remembers ids for minutes. */
         snprintf(s->id, sizeof(s->id), "w%d.%d.%llu.%llx", s->db, s->no,
                  (unsigned long long)++r->seq, (unsigned long long)r->nonce);
         snprintf(s->twin, sizeof(s->twin), "%s.t", s->id);
-        remember_id(r, s->id);
+        record_id(r, s->id);
         if (s->op == OP_TXN)
-            remember_id(r, s->twin);
+            record_id(r, s->twin);
     }
     ld_start_on_conn(s);
 }
--- a/load/session.h
+++ b/load/session.h
@@ -16,7 +16,7 @@
     VERIFY_LIMIT_US = 25000000,
     START_LIMIT_US = 5000000,
     GRACE_US = 1000000,
-    SILENT_US = 400000,
+    UNRESPONSIVE_US = 400000,
 };
 
 enum op { OP_READ, OP_WRITE, OP_TXN, OP_VERIFY };
@@ -27,8 +27,9 @@
     struct run *run;
     int entry;
     struct nt_conn *net;
-    bool open, leaving;            /* leaving: the node announced its stop; no new requests */
-    int64_t next_try, waits_since; /* waits_since: start of waiting for an answer; 0 if not */
+    bool open, stopping; /* stopping: the node announced its stop; no new requests */
+    int64_t next_try,
+        waiting_since; /* waiting_since: start of waiting for an answer; 0 if not */
 };
 
 struct session {
@@ -45,7 +46,7 @@
     char twin[72];
     char txn[64];
     struct conn *conn;
-    int64_t intended, sent, again_at;
+    int64_t intended, sent, retry_at;
     bool aged, had_token;
     int resends;
 };
@@ -68,19 +69,19 @@
 };
 
 struct ld_bucket *ld_bucket(struct run *r, int64_t now);
-void ld_note_reason(struct run *r, const char *reason);
-void ld_note_write_gap(struct run *r, int db, int64_t now);
+void ld_count_reason(struct run *r, const char *reason);
+void ld_update_write_gap(struct run *r, int db, int64_t now);
 void ld_send_step(struct session *s);
 void ld_go_idle(struct session *s);
 void ld_start_op(struct run *r, struct session *s, int64_t intended);
 void ld_start_on_conn(struct session *s);
-void ld_try_again(struct session *s, int64_t in_us);
+void ld_retry_in(struct session *s, int64_t in_us);
 void ld_verify_next(struct session *s);
 void ld_on_answer(struct run *r, struct session *s, const json_t *a);
 void ld_finish_unknown(struct session *s);
-void ld_maybe_leave(struct conn *c);
-struct session *ld_by_id(struct run *r, const char *id);
-const char *ld_twin_of(const struct session *s);
+void ld_close_if_drained(struct conn *c);
+struct session *ld_find_waiting(struct run *r, const char *id);
+const char *ld_twin_id(const struct session *s);
 void ld_key_name(const struct session *s, char *out, size_t cap);
 
 #endif
