--- a/load/answers.c
+++ b/load/answers.c
@@ -100,7 +100,7 @@
     if (b)
         b->refused++;
     if (s->resends > 0 && s->resends < MAX_RESENDS) {
-        s->resends++; /* an earlier attempt may have run, so the outcome stays open */
+        s->resends++; /* keep resending: an earlier attempt may have run */
         ld_retry_in(s, CK_MS(retry_ms > 0 ? retry_ms : 50));
         return;
     }
--- a/load/check.h
+++ b/load/check.h
@@ -16,7 +16,7 @@
     HC_STALE,         /* a read returned data older than the age it accepted */
     HC_OLD_PRIMARY,   /* a read that accepts no age missed an acknowledged write */
     HC_CROSSED,       /* the answer belongs to another request */
-    HC_LOST,          /* a write was acknowledged, but never ran or was lost */
+    HC_LOST,          /* an acknowledged write is missing at the end */
     HC_DOUBLED,       /* a write ran more than once */
     HC_FALSE_NOT_RUN, /* a write ran although every answer reported it as not run */
     HC_TORN,          /* the two writes of a transaction ran a different number of times */
--- a/load/load.h
+++ b/load/load.h
@@ -33,11 +33,9 @@
     double reads, aged, txns; /* shares: reads of all operations, aged reads of all reads,
                                  transactions of all operations */
     int age_ms, deadline_ms;
-    bool
-        no_tokens; /* sessions send no tokens: a read that accepts no age goes to the primary */
-    bool roam;     /* pick a random entry node for each operation */
-    bool resend; /* resend a write with outcome `unknown` under the same id, possibly elsewhere
-                  */
+    bool no_tokens; /* sessions send no tokens, so reads without an age use the primary */
+    bool roam;      /* pick a random entry node for each operation */
+    bool resend;    /* resend a write of unknown outcome under the same id */
     uint64_t seed;
     const char *json, *svg;
     const char *compare; /* address of an instance to compare with the entry node */
@@ -62,15 +60,15 @@
     int n_reasons;
     int n_buckets;
     struct ld_bucket buckets[LD_MAX_BUCKETS];
-    int64_t gap_us[LD_MAX_DBS]; /* longest time between two acknowledged writes */
-    int64_t
-        gap_from[LD_MAX_DBS]; /* start of that gap, microseconds after the start of the load */
+    int64_t gap_us[LD_MAX_DBS];   /* longest time between two acknowledged writes */
+    int64_t gap_from[LD_MAX_DBS]; /* start of that gap, us after the start of the load */
     int64_t last_write[LD_MAX_DBS];
     int64_t started, took_us;
     int64_t latest_refusal_us; /* longest time from sending a request to its refusal */
 };
 
-/* Runs the load; returns false, possibly with *err set, if it could not start. */
+/* Runs the load; returns false with *err set if the event loop can't be created. The load also
+ * starts if some entry nodes are still unreachable after START_LIMIT_US. */
 bool ld_run(const struct ld_opts *o, struct ld_result *r, struct hc_check *c,
             struct er_err *err);
 void ld_table(const struct ld_opts *o, const struct ld_result *r, const struct hc_check *c);
--- a/load/main.c
+++ b/load/main.c
@@ -183,7 +183,7 @@
     struct er_err err = {0};
     struct hc_check *c = hc_create();
     if (!ld_run(&o, &r, c, &err)) {
-        fprintf(stderr, "ferry-load: no entry node answers %s\n", err.text);
+        fprintf(stderr, "ferry-load: can't start the load: %s\n", err.text);
         return EXIT_UNREACHABLE;
     }
     ld_table(&o, &r, c);
