--- a/load/main.c
+++ b/load/main.c
@@ -1,4 +1,4 @@
-/* ferry-load: command line. */
+/* ferry-load: parses the command line, runs the load and prints the report. */
 #include <argp.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -20,7 +20,7 @@
     O_SVG,
     O_COMPARE,
     O_REQUESTS,
-    O_FORGET
+    O_NO_TOKENS
 };
 
 const char *argp_program_version = "ferry-load 0.1";
@@ -29,21 +29,21 @@
     {"entries", 'e', "IP:PORT,...", 0, "entry nodes", 0},
     {"dbs", 'd', "NAME,...", 0, "databases", 0},
     {"sessions", 's', "N", 0, "sessions (100)", 0},
-    {"rate", 'r', "N", 0, "operations started a second (500)", 0},
-    {"seconds", 't', "N", 0, "how long (10)", 0},
+    {"rate", 'r', "N", 0, "operations started per second (500)", 0},
+    {"seconds", 't', "N", 0, "duration of the load (10)", 0},
     {"reads", 'R', "SHARE", 0, "share of reads (0.8)", 0},
     {"aged", O_AGED, "SHARE", 0, "share of the reads that accept an age (0.5)", 0},
     {"txns", 'T', "SHARE", 0, "share of transactions (0.05)", 0},
-    {"age-ms", O_AGE, "MS", 0, "the age accepted (500)", 0},
+    {"age-ms", O_AGE, "MS", 0, "maximum age accepted by aged reads (500)", 0},
     {"deadline-ms", O_DEADLINE, "MS", 0, "deadline of each request (3000)", 0},
     {"keys", O_KEYS, "N", 0, "keys in a database (200)", 0},
     {"accounts", O_ACCOUNTS, "N", 0, "client accounts (8)", 0},
-    {"no-tokens", O_FORGET, NULL, 0, "sessions send no tokens", 0},
+    {"no-tokens", O_NO_TOKENS, NULL, 0, "sessions send no tokens", 0},
     {"stay", O_STAY, NULL, 0, "sessions stay on one entry node", 0},
-    {"resend", O_RESEND, NULL, 0, "resend what was answered unknown, same id, elsewhere", 0},
+    {"resend", O_RESEND, NULL, 0, "resend writes of unknown outcome with the same id", 0},
     {"seed", O_SEED, "N", 0, "seed of the random choices (1)", 0},
     {"json", O_JSON, "FILE", 0, "write the report as JSON", 0},
-    {"svg", O_SVG, "FILE", 0, "write a picture", 0},
+    {"svg", O_SVG, "FILE", 0, "write the chart as SVG", 0},
     {"compare", O_COMPARE, "IP:PORT", 0,
      "measure reads direct to this instance and through "
      "the first entry node",
@@ -52,8 +52,8 @@
     {0}};
 
 /* Calls fn for each comma-separated part. */
-static void parts(const char *list, void (*fn)(struct ld_opts *, struct sr_str),
-                  struct ld_opts *o)
+static void for_each_item(const char *list, void (*fn)(struct ld_opts *, struct sr_str),
+                          struct ld_opts *o)
 {
     while (*list) {
         size_t n = strcspn(list, ",");
@@ -83,10 +83,10 @@
     struct ld_opts *o = st->input;
     switch (key) {
     case 'e':
-        parts(arg, add_entry, o);
+        for_each_item(arg, add_entry, o);
         break;
     case 'd':
-        parts(arg, add_db, o);
+        for_each_item(arg, add_db, o);
         break;
     case 's':
         o->sessions = atoi(arg);
@@ -118,7 +118,7 @@
     case O_ACCOUNTS:
         o->accounts = atoi(arg);
         break;
-    case O_FORGET:
+    case O_NO_TOKENS:
         o->no_tokens = true;
         break;
     case O_STAY:
@@ -173,8 +173,9 @@
                                .seed = 1,
                                .requests = 20000};
     static struct ld_result r;
-    struct argp argp = {options, parse, NULL, "Load and judge for ferrylanding.",
-                        NULL,    NULL,  NULL};
+    struct argp argp = {
+        options, parse, NULL, "Load generator and history checker for ferrylanding.",
+        NULL,    NULL,  NULL};
     argp_err_exit_status = EXIT_USAGE_;
     argp_parse(&argp, argc, argv, 0, NULL, &o);
     if (o.compare)
@@ -182,7 +183,7 @@
     struct er_err err = {0};
     struct hc_check *c = hc_create();
     if (!ld_run(&o, &r, c, &err)) {
-        fprintf(stderr, "ferry-load: no entry node answers %s\n", err.text);
+        fprintf(stderr, "ferry-load: can't start the load: %s\n", err.text);
         return EXIT_UNREACHABLE;
     }
     ld_table(&o, &r, c);
@@ -190,7 +191,7 @@
         fprintf(stderr, "ferry-load: %s: can't be written\n", o.json);
     if (o.svg && !ld_svg(&o, &r))
         fprintf(stderr, "ferry-load: %s: can't be written\n", o.svg);
-    bool bad = ld_faults(c) > 0 || hc_unverified(c) > 0;
+    bool failed = ld_faults(c) > 0 || hc_unverified(c) > 0;
     hc_destroy(c);
-    return bad ? EXIT_FAULTS : 0;
+    return failed ? EXIT_FAULTS : 0;
 }
--- a/load/session.h
+++ b/load/session.h
@@ -1,4 +1,5 @@
-/* The sessions of a load, shared by its parts: sending, answers, run. */
+/* State of a running load, shared by sending.c, answers.c and run.c. Times are in microseconds
+ * of the monotonic clock. */
 #ifndef FL_LOAD_SESSION_H
 #define FL_LOAD_SESSION_H
 
@@ -15,7 +16,7 @@
     VERIFY_LIMIT_US = 25000000,
     START_LIMIT_US = 5000000,
     GRACE_US = 1000000,
-    SILENT_US = 400000,
+    UNRESPONSIVE_US = 400000,
 };
 
 enum op { OP_READ, OP_WRITE, OP_TXN, OP_VERIFY };
@@ -26,25 +27,26 @@
     struct run *run;
     int entry;
     struct nt_conn *net;
-    bool open, leaving;            /* leaving: the node stops; nothing new goes there */
-    int64_t next_try, waits_since; /* since when it owes an answer; 0 it does not */
+    bool open, stopping; /* stopping: the node announced its stop; no new requests */
+    int64_t next_try,
+        waiting_since; /* waiting_since: start of waiting for an answer; 0 if not */
 };
 
 struct session {
     struct run *run;
     int no;
     char tokens[LD_MAX_DBS][80];
-    /* the operation under way */
+    /* state of the current operation */
     bool busy, waiting;
     enum op op;
-    int step; /* of a transaction */
+    int step; /* of a transaction: 0 begin, 1 and 2 writes, 3 commit */
     int db, key;
-    uint64_t n;  /* number of the request under way */
-    char id[64]; /* of the write */
+    uint64_t n;  /* number of the current request */
+    char id[64]; /* id of the write */
     char twin[72];
     char txn[64];
     struct conn *conn;
-    int64_t intended, sent, again_at;
+    int64_t intended, sent, retry_at;
     bool aged, had_token;
     int resends;
 };
@@ -67,19 +69,19 @@
 };
 
 struct ld_bucket *ld_bucket(struct run *r, int64_t now);
-void ld_note_reason(struct run *r, const char *reason);
-void ld_note_write_gap(struct run *r, int db, int64_t now);
+void ld_count_reason(struct run *r, const char *reason);
+void ld_update_write_gap(struct run *r, int db, int64_t now);
 void ld_send_step(struct session *s);
 void ld_go_idle(struct session *s);
 void ld_start_op(struct run *r, struct session *s, int64_t intended);
 void ld_start_on_conn(struct session *s);
-void ld_try_again(struct session *s, int64_t in_us);
+void ld_retry_in(struct session *s, int64_t in_us);
 void ld_verify_next(struct session *s);
 void ld_on_answer(struct run *r, struct session *s, const json_t *a);
 void ld_finish_unknown(struct session *s);
-void ld_maybe_leave(struct conn *c);
-struct session *ld_by_id(struct run *r, const char *id);
-const char *ld_twin_of(const struct session *s);
+void ld_close_if_drained(struct conn *c);
+struct session *ld_find_waiting(struct run *r, const char *id);
+const char *ld_twin_id(const struct session *s);
 void ld_key_name(const struct session *s, char *out, size_t cap);
 
 #endif
