--- a/bench/bench.h
+++ b/bench/bench.h
@@ -7,13 +7,13 @@
 /* Admission at 0.5 to 5 times an instance's capacity against a plain queue. */
 int bn_overload(void);
 /* Run decision `name` n times; instructions are counted from outside (callgrind). */
-int bn_decision(const char *name, int n);
-void bn_decision_names(void);
+int bn_run_decision(const char *name, int n);
+void bn_print_decision_names(void);
 /* Bytes and memory of states and messages, as slopes. */
 int bn_sizes(void);
 /* The bytes that have a bound, a line each: name and number. */
-int bn_bytes(void);
+int bn_bounded_sizes(void);
 /* Messages and log entries of one change of primary with the pure module, a line each. */
-int bn_messages(void);
+int bn_failover_messages(void);
 
 #endif
--- a/bench/callers.c
+++ b/bench/callers.c
@@ -6,12 +6,12 @@
 #include "misc/clock.h"
 #include "task/net.h"
 
-enum { STEP = 50, STEP_US = 10000 };
+enum { CONNS_PER_TICK = 50, TICK_US = 10000 };
 
 struct callers {
     struct nt_loop *loop;
     struct nt_timer tick;
-    int count, port, begun, open;
+    int count, port, started, open;
     double seconds;
     int64_t end;
 };
@@ -41,26 +41,27 @@
 
 static void tick(void *ud)
 {
-    struct callers *x = ud;
-    for (int i = 0; i < STEP && x->begun < x->count; i++, x->begun++)
-        nt_connect(x->loop, "127.0.0.1", x->port, false, &ops, x);
-    if (ck_now() >= x->end) {
-        fprintf(stderr, "%d of %d open\n", x->open, x->count);
-        nt_stop(x->loop);
+    struct callers *callers = ud;
+    for (int i = 0; i < CONNS_PER_TICK && callers->started < callers->count;
+         i++, callers->started++)
+        nt_connect(callers->loop, "127.0.0.1", callers->port, false, &ops, callers);
+    if (ck_now() >= callers->end) {
+        fprintf(stderr, "%d of %d open\n", callers->open, callers->count);
+        nt_stop(callers->loop);
         return;
     }
-    nt_timer_set(x->loop, &x->tick, STEP_US, tick, x);
+    nt_timer_set(callers->loop, &callers->tick, TICK_US, tick, callers);
 }
 
-static error_t parse(int key, char *arg, struct argp_state *st)
+static error_t parse_option(int key, char *arg, struct argp_state *st)
 {
-    struct callers *x = st->input;
+    struct callers *callers = st->input;
     if (key == 'c')
-        x->count = atoi(arg);
+        callers->count = atoi(arg);
     else if (key == 'p')
-        x->port = atoi(arg);
+        callers->port = atoi(arg);
     else if (key == 't')
-        x->seconds = atof(arg);
+        callers->seconds = atof(arg);
     else
         return ARGP_ERR_UNKNOWN;
     return 0;
@@ -72,15 +73,15 @@
                                                  {"port", 'p', "PORT", 0, "entry node", 0},
                                                  {"seconds", 't', "N", 0, "how long", 0},
                                                  {0}};
-    static struct callers x = {.count = 100, .seconds = 5};
-    struct argp argp = {options, parse, NULL, "Idle callers.", NULL, NULL, NULL};
-    argp_parse(&argp, argc, argv, 0, NULL, &x);
+    static struct callers callers = {.count = 100, .seconds = 5};
+    struct argp argp = {options, parse_option, NULL, "Idle callers.", NULL, NULL, NULL};
+    argp_parse(&argp, argc, argv, 0, NULL, &callers);
     struct er_err err = {0};
-    x.loop = nt_loop_create(x.count + 256, &err);
-    if (!x.loop)
+    callers.loop = nt_loop_create(callers.count + 256, &err);
+    if (!callers.loop)
         return 1;
-    x.end = ck_now() + (int64_t)(x.seconds * 1e6);
-    tick(&x);
-    nt_run(x.loop);
+    callers.end = ck_now() + (int64_t)(callers.seconds * 1e6);
+    tick(&callers);
+    nt_run(callers.loop);
     return 0;
 }
--- a/bench/decisions.c
+++ b/bench/decisions.c
@@ -18,7 +18,7 @@
 #include "session/token.h"
 #include "wire/wire.h"
 
-static volatile uint64_t keep;
+static volatile uint64_t result_sink;
 
 static void route_read(int n)
 {
@@ -32,11 +32,11 @@
         rt_record_primary_pos(&g, CK_MS(25) * i, (struct ps_pos){1, (uint64_t)i});
     for (int i = 0; i < n; i++) {
         struct rt_query q = {true, {1, 900}, CK_MS(500), CK_MS(10)};
-        keep += (uint64_t)rt_choose_for_read(&g, &q, 0, CK_MS(25) * RT_MAX_SAMPLES).inst;
+        result_sink += (uint64_t)rt_choose_for_read(&g, &q, 0, CK_MS(25) * RT_MAX_SAMPLES).inst;
     }
 }
 
-static void token(int n)
+static void make_and_read_token(int n)
 {
     struct ss_key k;
     char text[SS_TOKEN_TEXT_BYTES];
@@ -44,11 +44,11 @@
     ss_key_from(&k, SR_LIT("secret"));
     for (int i = 0; i < n; i++) {
         ss_token_make(&k, SR_LIT("dispatch1"), (struct ps_pos){1, (uint64_t)i}, text);
-        keep += ss_token_read(&k, SR_LIT("dispatch1"), sr_from(text), &p);
+        result_sink += ss_token_read(&k, SR_LIT("dispatch1"), sr_from(text), &p);
     }
 }
 
-static void admit(int n)
+static void admit_request(int n)
 {
     static struct ad_queue q;
     static struct ad_item it;
@@ -59,22 +59,22 @@
         int64_t retry, now = (int64_t)i * 1000;
         it = (struct ad_item){.cls = AD_SESSION, .account = 5, .deadline = now + CK_SEC(1)};
         ad_offer(&q, &it, now, &retry);
-        keep += ad_next(&q, now) != NULL;
+        result_sink += ad_next(&q, now) != NULL;
         ad_done(&q, 900, now + 900);
     }
 }
 
-static void lease(int n)
+static void lease_of_460(int n)
 {
     static struct ls_grantor g;
     ls_grantor_begin(&g, CK_SEC(2), 0, true);
     for (int i = 0; i < 460; i++)
         ls_grant(&g, (uint64_t)i + 1, INT64_MAX, 0);
     for (int i = 0; i < n; i++)
-        keep += (uint64_t)ls_grant(&g, (uint64_t)(i % 460) + 1, INT64_MAX, i);
+        result_sink += (uint64_t)ls_grant(&g, (uint64_t)(i % 460) + 1, INT64_MAX, i);
 }
 
-static void share(int n)
+static void share_of_12(int n)
 {
     static struct sh_table t;
     sh_begin(&t, 0);
@@ -82,8 +82,8 @@
     for (int i = 0; i < n; i++) {
         uint64_t node = (uint64_t)(i % 12) + 1;
         sh_report(&t, "i", node, 1, i % 5, UINT64_MAX - 1, CK_SEC(100), 0);
-        keep += sh_balance(&t, "i", 0);
-        keep += (uint64_t)sh_target_to_send(&t, "i", node, 1);
+        result_sink += sh_balance(&t, "i", 0);
+        result_sink += (uint64_t)sh_target_to_send(&t, "i", node, 1);
     }
 }
 
@@ -104,8 +104,8 @@
     for (int i = 0; i < n; i++) {
         uint64_t node = (uint64_t)(i % HOLDERS) + 1;
         snprintf(id, sizeof(id), "db%d", i * 7 % INSTANCES);
-        keep += sh_report(&t, id, node, 1, 1, UINT64_MAX - 1, CK_SEC(100), 0);
-        keep += sh_has_unsent_target(&t, id, node);
+        result_sink += sh_report(&t, id, node, 1, 1, UINT64_MAX - 1, CK_SEC(100), 0);
+        result_sink += sh_has_unsent_target(&t, id, node);
     }
 }
 
@@ -123,11 +123,11 @@
     ho_prepare(nodes, NODES);
     for (int i = 0; i < n; i++) {
         snprintf(group, sizeof(group), "db%d", i % 940);
-        keep += (uint64_t)ho_pick(nodes, NODES, group, HOLDERS, out) + (uint64_t)out[0];
+        result_sink += (uint64_t)ho_pick(nodes, NODES, group, HOLDERS, out) + (uint64_t)out[0];
     }
 }
 
-static void promote(int n)
+static void promote_tick(int n)
 {
     static struct pr_group p;
     static struct vw_group g;
@@ -143,7 +143,7 @@
         pr_probed(&p, "a", 1, "d1", PR_UP, now);
         pr_set_status(&p, "a", true, 0, 0, (struct ps_pos){0, 0}, now);
         pr_tick(&p, &g, true, now, &a);
-        keep += (uint64_t)a.n;
+        result_sink += (uint64_t)a.n;
     }
 }
 
@@ -156,7 +156,7 @@
         "\"age_ms\":500,\"deadline_ms\":1000}";
     for (int i = 0; i < n; i++) {
         struct cl_request r;
-        keep += cl_parse(text, sizeof(text) - 1, &r, NULL);
+        result_sink += cl_parse(text, sizeof(text) - 1, &r, NULL);
         cl_request_free(&r);
     }
 }
@@ -169,7 +169,7 @@
     for (int i = 0; i < n; i++) {
         b.len = 0;
         cl_write_answer(&b, "r1.22", &a);
-        keep += b.len;
+        result_sink += b.len;
     }
     sr_buf_free(&b);
 }
@@ -186,37 +186,37 @@
         struct wr_msg m = {.type = WR_RENEW, .renew = {1, 2, 3, false, 9, s, 4}}, back;
         b.len = 0;
         wr_encode(&b, &m);
-        keep += wr_decode(&d, b.p, b.len, &back, NULL);
+        result_sink += wr_decode(&d, b.p, b.len, &back, NULL);
     }
     sr_buf_free(&b);
     wr_decoder_free(&d);
 }
 
-static void none_send(void *ud, const struct qr_msg *m)
+static void stub_send(void *ud, const struct qr_msg *m)
 {
     (void)ud;
-    keep += m->round;
+    result_sink += m->round;
 }
 
-static void none_persist(void *ud, const struct qr_persist *p)
+static void stub_persist(void *ud, const struct qr_persist *p)
 {
     *(uint64_t *)ud = p->seq;
 }
 
-static void none_apply(void *ud, const struct qr_entry *e)
+static void stub_apply(void *ud, const struct qr_entry *e)
 {
     (void)ud;
-    keep += e->index;
+    result_sink += e->index;
 }
 
-static void none_restore(void *ud, uint64_t i, const char *d, uint32_t n)
+static void stub_restore(void *ud, uint64_t i, const char *d, uint32_t n)
 {
     (void)ud;
     (void)d;
-    keep += i + n;
+    result_sink += i + n;
 }
 
-static void none_role(void *ud)
+static void stub_role(void *ud)
 {
     (void)ud;
 }
@@ -224,8 +224,8 @@
 /* A follower takes one entry: message, disk, answer, apply. */
 static void quorum_append(int n)
 {
-    static const struct qr_sink sink = {none_send, none_persist, none_apply, none_restore,
-                                        none_role};
+    static const struct qr_sink sink = {stub_send, stub_persist, stub_apply, stub_restore,
+                                        stub_role};
     uint64_t seq = 0;
     struct qr_config cfg = {.self = 2,
                             .election_us = CK_MS(250),
@@ -268,7 +268,7 @@
         ac_add_key(&t, i % ACCOUNTS, sr_from(text), NULL);
     }
     for (int i = 0; i < n; i++)
-        keep += ac_by_key(&t, sr_from(text)) != NULL;
+        result_sink += ac_by_key(&t, sr_from(text)) != NULL;
 }
 
 /* What the leader does for one operation of an account that 16 nodes serve. */
@@ -287,37 +287,30 @@
         now += 1000;
         lm_renewed(&g, node, true, now);
         lm_handle_report(&g, "account", node, &r, (uint64_t)i, (uint64_t)i + 1, now, &a);
-        keep += (uint64_t)a.given;
+        result_sink += (uint64_t)a.given;
     }
 }
 
 static const struct {
     const char *name;
     void (*fn)(int n);
-} decisions[] = {{"route_read", route_read},
-                 {"token", token},
-                 {"admit", admit},
-                 {"lease_of_460", lease},
-                 {"share_of_12", share},
-                 {"share_at_target", share_at_target},
-                 {"holders_of_460", holders_of_460},
-                 {"promote_tick", promote},
-                 {"parse_request", parse_request},
-                 {"write_answer", write_answer},
-                 {"wire_renew", wire_renew},
-                 {"quorum_append", quorum_append},
-                 {"key_of_100000", key_of_100000},
-                 {"permit_of_16", permit_of_16}};
+} decisions[] = {{"route_read", route_read},         {"token", make_and_read_token},
+                 {"admit", admit_request},           {"lease_of_460", lease_of_460},
+                 {"share_of_12", share_of_12},       {"share_at_target", share_at_target},
+                 {"holders_of_460", holders_of_460}, {"promote_tick", promote_tick},
+                 {"parse_request", parse_request},   {"write_answer", write_answer},
+                 {"wire_renew", wire_renew},         {"quorum_append", quorum_append},
+                 {"key_of_100000", key_of_100000},   {"permit_of_16", permit_of_16}};
 
 enum { N_DECISIONS = sizeof(decisions) / sizeof(decisions[0]) };
 
-void bn_decision_names(void)
+void bn_print_decision_names(void)
 {
     for (int i = 0; i < N_DECISIONS; i++)
         printf("%s\n", decisions[i].name);
 }
 
-int bn_decision(const char *name, int n)
+int bn_run_decision(const char *name, int n)
 {
     for (int i = 0; i < N_DECISIONS; i++) {
         if (strcmp(decisions[i].name, name) != 0)
--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -20,10 +20,10 @@
     MAX_NODES = 1000,
     MAX_VOTERS = 5,
     TICK_US = 5000,
-    RENEW_PARTS = 6,
-    MAX_HOLD = 64,
+    RENEWALS_PER_LEASE = 6,
+    MAX_HELD = 64,
     DOMAINS = 5,
-    STARTING_US = 5000000
+    STARTUP_US = 5000000
 };
 
 struct fleet;
@@ -31,10 +31,10 @@
 struct node {
     struct fleet *f;
     struct nt_conn *net;
-    bool open, leased;
+    bool open, has_lease;
     int voter; /* which control node it talks to */
     uint64_t id, generation, seq, shares_seq;
-    int64_t next_renew, until;
+    int64_t next_renew, lease_until;
 };
 
 struct fleet {
@@ -43,67 +43,68 @@
     char cluster[64], ip[46];
     int ports[MAX_VOTERS], n_voters, n;
     double seconds;
-    int instances, hold; /* that there are; that a node holds connections to */
+    int instances, held_per_node; /* that there are; that a node holds connections to */
     char ids[4096][48];
     struct node nodes[MAX_NODES];
     struct wr_decoder dec;
-    int64_t end, steady; /* figures count from `steady` on, when all have their view */
-    struct nt_counters before;
-    uint64_t target;   /* generation whose spread is being measured */
-    int64_t target_at; /* when the first node heard of it */
-    int have;
-    struct hi_hist spread, grant;
+    int64_t end, measured_from; /* figures count from `steady` on, when all have their view */
+    struct nt_counters start_counters;
+    uint64_t measured_generation; /* generation whose spread is being measured */
+    int64_t first_reached_at;     /* when the first node heard of it */
+    int n_reached;
+    struct hi_hist propagation, grant;
     uint64_t grants, refused, views, snapshots, lost_leases;
 };
 
-static void send_msg(struct node *x, const struct wr_msg *m)
+static void send_msg(struct node *node, const struct wr_msg *m)
 {
     struct sr_buf b = {0};
     wr_encode(&b, m);
-    nt_send(x->net, b.p, b.len);
+    nt_send(node->net, b.p, b.len);
     sr_buf_free(&b);
 }
 
-static void renew(struct node *x, int64_t now)
+static void renew(struct node *node, int64_t now)
 {
-    struct fleet *f = x->f;
-    struct wr_share s[MAX_HOLD];
-    int n = f->instances < f->hold ? f->instances : f->hold;
-    int first = (int)(x - f->nodes) * f->hold; /* so that each instance has as many holders */
+    struct fleet *f = node->f;
+    struct wr_share s[MAX_HELD];
+    int n = f->instances < f->held_per_node ? f->instances : f->held_per_node;
+    int first = (int)(node - f->nodes) *
+                f->held_per_node; /* so that each instance has as many holders */
     for (int i = 0; i < n; i++)
         s[i] = (struct wr_share){sr_from(f->ids[(first + i) % f->instances]), 1, 1};
     struct wr_msg m = {.type = WR_RENEW,
-                       .renew = {.seq = ++x->seq,
-                                 .generation = x->generation,
+                       .renew = {.seq = ++node->seq,
+                                 .generation = node->generation,
                                  .n = (uint32_t)n,
                                  .shares = s,
-                                 .shares_seq = x->shares_seq}};
-    x->next_renew = now + CK_SEC(1);
-    send_msg(x, &m);
+                                 .shares_seq = node->shares_seq}};
+    node->next_renew = now + CK_SEC(1);
+    send_msg(node, &m);
 }
 
 static void on_open(struct nt_conn *c, void *ud)
 {
-    struct node *x = ud;
+    struct node *node = ud;
     char name[32], domain[8];
     (void)c;
-    x->open = true;
-    snprintf(domain, sizeof(domain), "d%d", (int)(x - x->f->nodes) % DOMAINS);
-    snprintf(name, sizeof(name), "fleet%d", (int)(x - x->f->nodes));
+    node->open = true;
+    snprintf(domain, sizeof(domain), "d%d", (int)(node - node->f->nodes) % DOMAINS);
+    snprintf(name, sizeof(name), "fleet%d", (int)(node - node->f->nodes));
     struct wr_msg m = {.type = WR_HELLO};
     m.hello = (struct wr_hello){.version = WR_VERSION,
-                                .cluster = sr_from(x->f->cluster),
+                                .cluster = sr_from(node->f->cluster),
                                 .name = sr_from(name),
                                 .domain = sr_from(domain),
                                 .ip = SR_LIT("127.0.0.1"),
                                 .port = 1,
                                 .role = WR_ROLE_ENTRY,
-                                .id = x->id};
-    send_msg(x, &m);
-    x->next_renew = ck_now();
+                                .id = node->id};
+    send_msg(node, &m);
+    node->next_renew = ck_now();
 }
 
-static void learn_instances(struct fleet *f, const json_t *view)
+static void load_instances(struct fleet *f, const json_t *view)
 {
     size_t g, i;
     json_t *group, *inst;
@@ -119,41 +120,41 @@
     }
 }
 
-static void note_spread(struct fleet *f, uint64_t generation, int64_t now)
+static void record_propagation(struct fleet *f, uint64_t generation, int64_t now)
 {
-    if (generation > f->target) {
-        f->target = generation;
-        f->target_at = now;
-        f->have = 0;
+    if (generation > f->measured_generation) {
+        f->measured_generation = generation;
+        f->first_reached_at = now;
+        f->n_reached = 0;
     }
-    if (generation == f->target && ++f->have == f->n)
-        hi_add(&f->spread, now - f->target_at);
+    if (generation == f->measured_generation && ++f->n_reached == f->n)
+        hi_add(&f->propagation, now - f->first_reached_at);
 }
 
-static void on_view(struct node *x, const struct wr_view *v)
+static void on_view(struct node *node, const struct wr_view *v)
 {
-    struct fleet *f = x->f;
+    struct fleet *f = node->f;
     f->views++;
     if (v->from == 0) {
         f->snapshots++;
         if (!f->instances) {
             json_t *j = json_loadb(v->text.p, v->text.len, 0, NULL);
-            learn_instances(f, j);
+            load_instances(f, j);
             json_decref(j);
         }
     }
-    if (v->to <= x->generation)
+    if (v->to <= node->generation)
         return;
-    x->generation = v->to;
-    note_spread(f, v->to, ck_now());
+    node->generation = v->to;
+    record_propagation(f, v->to, ck_now());
     struct wr_msg m = {.type = WR_ACK, .ack = v->to};
-    send_msg(x, &m);
+    send_msg(node, &m);
 }
 
 static void on_message(struct nt_conn *c, void *ud, const char *data, size_t len)
 {
-    struct node *x = ud;
-    struct fleet *f = x->f;
+    struct node *node = ud;
+    struct fleet *f = node->f;
     struct wr_msg m;
     int64_t now = ck_now();
     (void)c;
@@ -161,57 +162,57 @@
         return;
     if (m.type == WR_GRANT && m.grant.duration_ms) {
         f->grants++;
-        x->leased = true;
-        x->until = now + CK_MS(m.grant.duration_ms);
-        x->next_renew = now + CK_MS(m.grant.duration_ms) / RENEW_PARTS;
+        node->has_lease = true;
+        node->lease_until = now + CK_MS(m.grant.duration_ms);
+        node->next_renew = now + CK_MS(m.grant.duration_ms) / RENEWALS_PER_LEASE;
     } else if (m.type == WR_NOT_LEADER) {
         f->refused++;
-        nt_close(x->net, true); /* and on to the next */
+        nt_close(node->net, true); /* and on to the next */
     } else if (m.type == WR_VIEW) {
-        on_view(x, &m.view);
+        on_view(node, &m.view);
     } else if (m.type == WR_SHARES) {
-        x->shares_seq = m.shares.seq;
+        node->shares_seq = m.shares.seq;
     } else if (m.type == WR_CHECK) {
         m.type = WR_CHECKED;
         m.check.health = WR_UNKNOWN;
-        send_msg(x, &m);
+        send_msg(node, &m);
     }
 }
 
 static void on_close(struct nt_conn *c, void *ud, bool opened, bool refused)
 {
-    struct node *x = ud;
+    struct node *node = ud;
     (void)c;
     (void)opened;
     (void)refused;
-    x->net = NULL;
-    x->open = false;
-    x->voter = (x->voter + 1) % x->f->n_voters;
-    x->next_renew = ck_now() + CK_MS(50);
+    node->net = NULL;
+    node->open = false;
+    node->voter = (node->voter + 1) % node->f->n_voters;
+    node->next_renew = ck_now() + CK_MS(50);
 }
 
 static const struct nt_ops ops = {on_open, on_message, on_close};
 
 static void report(struct fleet *f)
 {
-    double s = (double)(ck_now() - f->steady) / 1e6;
+    double s = (double)(ck_now() - f->measured_from) / 1e6;
     const struct nt_counters *st = nt_stats(f->loop);
-    uint64_t out = st->bytes_out - f->before.bytes_out;
-    uint64_t in = st->bytes_in - f->before.bytes_in;
-    uint64_t messages =
-        st->messages_in + st->messages_out - f->before.messages_in - f->before.messages_out;
+    uint64_t out = st->bytes_out - f->start_counters.bytes_out;
+    uint64_t in = st->bytes_in - f->start_counters.bytes_in;
+    uint64_t messages = st->messages_in + st->messages_out - f->start_counters.messages_in -
+                        f->start_counters.messages_out;
     int leased = 0;
     for (int i = 0; i < f->n; i++)
-        leased += ck_now() < f->nodes[i].until;
+        leased += ck_now() < f->nodes[i].lease_until;
     printf("%d nodes, %.1f s: leases held %d, lost %llu; a node sends %.0f and receives %.0f "
            "bytes a second, %.1f messages a second\n",
            f->n, s, leased, (unsigned long long)f->lost_leases, (double)out / s / f->n,
            (double)in / s / f->n, (double)messages / s / f->n);
     printf("changes that reached all: %llu; from the first node to the last p50 %.2f ms, worst "
            "%.2f ms; views %llu, whole ones %llu\n",
-           (unsigned long long)f->spread.count, (double)hi_quantile(&f->spread, 0.5) / 1000,
-           (double)f->spread.max / 1000, (unsigned long long)f->views,
-           (unsigned long long)f->snapshots);
+           (unsigned long long)f->propagation.count,
+           (double)hi_quantile(&f->propagation, 0.5) / 1000, (double)f->propagation.max / 1000,
+           (unsigned long long)f->views, (unsigned long long)f->snapshots);
 }
 
 static void tick(void *ud)
@@ -219,23 +220,23 @@
     struct fleet *f = ud;
     int64_t now = ck_now();
     for (int i = 0; i < f->n; i++) {
-        struct node *x = &f->nodes[i];
-        if (x->leased && now >= x->until) {
-            x->leased = false;
+        struct node *node = &f->nodes[i];
+        if (node->has_lease && now >= node->lease_until) {
+            node->has_lease = false;
             f->lost_leases++;
         }
-        if (now < x->next_renew)
+        if (now < node->next_renew)
             continue;
-        if (!x->net)
-            x->net = nt_connect(f->loop, f->ip, f->ports[x->voter], true, &ops, x);
-        else if (x->open)
-            renew(x, now);
-        if (!x->open)
-            x->next_renew = now + CK_MS(500);
+        if (!node->net)
+            node->net = nt_connect(f->loop, f->ip, f->ports[node->voter], true, &ops, node);
+        else if (node->open)
+            renew(node, now);
+        if (!node->open)
+            node->next_renew = now + CK_MS(500);
     }
-    if (!f->steady && now >= f->end - (int64_t)(f->seconds * 1e6) + STARTING_US) {
-        f->steady = now;
-        f->before = *nt_stats(f->loop);
+    if (!f->measured_from && now >= f->end - (int64_t)(f->seconds * 1e6) + STARTUP_US) {
+        f->measured_from = now;
+        f->start_counters = *nt_stats(f->loop);
     }
     if (now >= f->end) {
         report(f);
@@ -245,7 +246,7 @@
     nt_timer_set(f->loop, &f->tick, TICK_US, tick, f);
 }
 
-static error_t parse(int key, char *arg, struct argp_state *st)
+static error_t parse_option(int key, char *arg, struct argp_state *st)
 {
     struct fleet *f = st->input;
     switch (key) {
@@ -256,7 +257,7 @@
         f->seconds = atof(arg);
         break;
     case 'h':
-        f->hold = atoi(arg);
+        f->held_per_node = atoi(arg);
         break;
     case 'c':
         sr_copy(f->cluster, sizeof(f->cluster), sr_from(arg));
@@ -266,11 +267,11 @@
             f->ports[f->n_voters++] = atoi(arg);
         break;
     case ARGP_KEY_END:
-        if (!f->n_voters || f->n < 1 || f->n > MAX_NODES || f->hold < 1 || f->hold > MAX_HOLD ||
-            f->seconds < 6)
+        if (!f->n_voters || f->n < 1 || f->n > MAX_NODES || f->held_per_node < 1 ||
+            f->held_per_node > MAX_HELD || f->seconds < 6)
             argp_error(st,
                        "ports of control nodes, 1..%d nodes, 1..%d instances held, 6 s or more",
-                       MAX_NODES, MAX_HOLD);
+                       MAX_NODES, MAX_HELD);
         break;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -286,9 +287,10 @@
         {"hold", 'h', "N", 0, "instances a node holds (64)", 0},
         {"cluster", 'c', "NAME", 0, "cluster", 0},
         {0}};
-    static struct fleet f = {.n = 100, .hold = MAX_HOLD, .seconds = 10, .ip = "127.0.0.1"};
-    struct argp argp = {options, parse, "PORT...", "Entry nodes as control sees them.",
-                        NULL,    NULL,  NULL};
+    static struct fleet f = {
+        .n = 100, .held_per_node = MAX_HELD, .seconds = 10, .ip = "127.0.0.1"};
+    struct argp argp = {options, parse_option, "PORT...", "Entry nodes as control sees them.",
+                        NULL,    NULL,         NULL};
     argp_parse(&argp, argc, argv, 0, NULL, &f);
     struct er_err err = {0};
     f.loop = nt_loop_create(4096, &err);
--- a/bench/main.c
+++ b/bench/main.c
@@ -17,15 +17,15 @@
     if (argc == 2 && strcmp(argv[1], "sizes") == 0)
         return bn_sizes();
     if (argc == 2 && strcmp(argv[1], "bytes") == 0)
-        return bn_bytes();
+        return bn_bounded_sizes();
     if (argc == 2 && strcmp(argv[1], "messages") == 0)
-        return bn_messages();
+        return bn_failover_messages();
     if (argc == 2 && strcmp(argv[1], "decisions") == 0) {
-        bn_decision_names();
+        bn_print_decision_names();
         return 0;
     }
     if (argc == 4 && strcmp(argv[1], "decision") == 0)
-        return bn_decision(argv[2], atoi(argv[3]));
+        return bn_run_decision(argv[2], atoi(argv[3]));
     fprintf(stderr,
             "usage: ferry-bench reads | overload | sizes | bytes | messages | decisions | "
             "decision NAME N\n");
--- a/bench/messages.c
+++ b/bench/messages.c
@@ -6,9 +6,9 @@
 #include "misc/clock.h"
 #include "promote/promote.h"
 
-enum { INSTANCES = 3, TICKS = 400, TICK_US = 5000, KILL_AT = 100 };
+enum { INSTANCES = 3, TICKS = 400, TICK_US = 5000, KILL_TICK = 100 };
 
-struct world {
+struct simulation {
     struct pr_group p;
     struct vw_group g;
     int64_t now;
@@ -16,78 +16,78 @@
 };
 
 /* All that the module asks for is done at once: the least a change of primary can cost. */
-static void carry_out(struct world *w, const struct pr_action *a)
+static void perform_action(struct simulation *sim, const struct pr_action *a)
 {
-    const char *id = a->inst >= 0 ? w->g.inst[a->inst].id : "";
-    struct ps_pos held = {1, 100};
-    bool dead = a->inst == 0;
-    w->counts[a->kind]++;
+    const char *id = a->inst >= 0 ? sim->g.inst[a->inst].id : "";
+    struct ps_pos pos = {1, 100};
+    bool down = a->inst == 0;
+    sim->counts[a->kind]++;
     switch (a->kind) {
     case PR_DO_CHECK:
-        pr_checks_sent(&w->p, 1);
-        pr_check_reply(&w->p, a->term, PR_REFUSED);
+        pr_checks_sent(&sim->p, 1);
+        pr_check_reply(&sim->p, a->term, PR_REFUSED);
         break;
     case PR_DO_REPLACE:
-        w->g.phase = VW_REPLACING;
-        w->g.term = a->term;
+        sim->g.phase = VW_REPLACING;
+        sim->g.term = a->term;
         break;
     case PR_DO_FENCE:
-        if (!dead)
-            pr_fenced(&w->p, id, a->term, held);
+        if (!down)
+            pr_fenced(&sim->p, id, a->term, pos);
         break;
     case PR_DO_PROMOTE:
-        pr_promoted(&w->p, id, a->term, held);
+        pr_promoted(&sim->p, id, a->term, pos);
         break;
     case PR_DO_PRIMARY:
-        w->g.phase = VW_SERVING;
-        w->g.primary = a->inst;
+        sim->g.phase = VW_SERVING;
+        sim->g.primary = a->inst;
         break;
     default:
         break;
     }
 }
 
-static void step(struct world *w, bool killed)
+static void run_tick(struct simulation *sim, bool killed)
 {
-    struct pr_actions acts;
+    struct pr_actions actions;
     for (int i = 0; i < INSTANCES; i++) {
-        bool dead = killed && i == 0;
-        const char *id = w->g.inst[i].id;
+        bool down = killed && i == 0;
+        const char *id = sim->g.inst[i].id;
         for (int v = 0; v < 3; v++)
-            pr_probed(&w->p, id, (uint64_t)v + 1, (const char *[]){"a", "b", "c"}[v],
-                      dead ? PR_REFUSED : PR_UP, w->now);
-        if (!dead)
-            pr_set_status(&w->p, id, i == w->g.primary, w->g.term, w->g.term,
-                          (struct ps_pos){1, 100}, w->now);
+            pr_probed(&sim->p, id, (uint64_t)v + 1, (const char *[]){"a", "b", "c"}[v],
+                      down ? PR_REFUSED : PR_UP, sim->now);
+        if (!down)
+            pr_set_status(&sim->p, id, i == sim->g.primary, sim->g.term, sim->g.term,
+                          (struct ps_pos){1, 100}, sim->now);
     }
-    pr_tick(&w->p, &w->g, true, w->now, &acts);
-    for (int i = 0; i < acts.n; i++)
-        carry_out(w, &acts.a[i]);
-    w->now += TICK_US;
+    pr_tick(&sim->p, &sim->g, true, sim->now, &actions);
+    for (int i = 0; i < actions.n; i++)
+        perform_action(sim, &actions.a[i]);
+    sim->now += TICK_US;
 }
 
-int bn_messages(void)
+int bn_failover_messages(void)
 {
-    static struct world w;
+    static struct simulation sim;
     struct pr_config cfg = {.silence_us = CK_MS(300),
                             .check_us = CK_MS(100),
                             .resend_us = CK_MS(100),
                             .attempt_us = CK_MS(500),
                             .hold_us = CK_MS(500),
                             .fenced_endpoints = true};
-    w.g = (struct vw_group){.name = "g", .n = INSTANCES, .copies = 2, .term = 1};
+    sim.g = (struct vw_group){.name = "g", .n = INSTANCES, .copies = 2, .term = 1};
     for (int i = 0; i < INSTANCES; i++)
-        w.g.inst[i].id[0] = (char)('a' + i);
-    w.now = CK_SEC(10);
-    pr_begin(&w.p, &cfg, w.now);
-    for (int i = 0; i < KILL_AT; i++)
-        step(&w, false);
-    memset(w.counts, 0, sizeof(w.counts));
-    for (int i = KILL_AT; i < TICKS && w.g.primary == 0; i++)
-        step(&w, true);
-    printf("failover_checks %d\n", w.counts[PR_DO_CHECK]);
-    printf("failover_log_entries %d\n", w.counts[PR_DO_REPLACE] + w.counts[PR_DO_PRIMARY]);
-    printf("failover_fences %d\n", w.counts[PR_DO_FENCE]);
-    printf("failover_promotions %d\n", w.counts[PR_DO_PROMOTE]);
-    return w.g.primary == 0;
+        sim.g.inst[i].id[0] = (char)('a' + i);
+    sim.now = CK_SEC(10);
+    pr_begin(&sim.p, &cfg, sim.now);
+    for (int i = 0; i < KILL_TICK; i++)
+        run_tick(&sim, false);
+    memset(sim.counts, 0, sizeof(sim.counts));
+    for (int i = KILL_TICK; i < TICKS && sim.g.primary == 0; i++)
+        run_tick(&sim, true);
+    printf("failover_checks %d\n", sim.counts[PR_DO_CHECK]);
+    printf("failover_log_entries %d\n", sim.counts[PR_DO_REPLACE] + sim.counts[PR_DO_PRIMARY]);
+    printf("failover_fences %d\n", sim.counts[PR_DO_FENCE]);
+    printf("failover_promotions %d\n", sim.counts[PR_DO_PROMOTE]);
+    return sim.g.primary == 0;
 }
--- a/bench/sizes.c
+++ b/bench/sizes.c
@@ -11,7 +11,7 @@
 #include "view/view.h"
 #include "wire/wire.h"
 
-static size_t encoded(const struct wr_msg *m)
+static size_t encoded_bytes(const struct wr_msg *m)
 {
     struct sr_buf b = {0};
     wr_encode(&b, m);
@@ -28,7 +28,7 @@
     struct wr_msg m = {
         .type = WR_RENEW,
         .renew = {100000, 40000, 1ull << 60, false, (uint32_t)instances, s, 1000}};
-    size_t n = encoded(&m);
+    size_t n = encoded_bytes(&m);
     free(s);
     return n;
 }
@@ -40,7 +40,7 @@
         p[i] =
             (struct wr_probe){SR_LIT("dispatch1-burnaby-a"), WR_OK, true, 40, 40, 1u << 30, 40};
     struct wr_msg m = {.type = WR_PROBES, .probes = {(uint32_t)instances, p}};
-    size_t n = encoded(&m);
+    size_t n = encoded_bytes(&m);
     free(p);
     return n;
 }
@@ -65,7 +65,7 @@
     }
 }
 
-static size_t view_text(int groups)
+static size_t view_text_bytes(int groups)
 {
     struct vw_view v;
     struct vw_change ch;
@@ -91,7 +91,7 @@
     json_t *j = vw_change_json(&ch);
     char *s = json_dumps(j, JSON_COMPACT);
     struct wr_msg m = {.type = WR_VIEW, .view = {40000, 40001, sr_from(s)}};
-    size_t n = encoded(&m);
+    size_t n = encoded_bytes(&m);
     free(s);
     json_decref(j);
     return n;
@@ -108,23 +108,24 @@
                                   .log_term = 400,
                                   .commit = 100000,
                                   .round = 100000}};
-    return encoded(&m);
+    return encoded_bytes(&m);
 }
 
 int bn_sizes(void)
 {
-    size_t t0 = view_text(100), t1 = view_text(1040);
+    size_t bytes_of_100 = view_text_bytes(100), bytes_of_1040 = view_text_bytes(1040);
     struct wr_msg grant = {.type = WR_GRANT, .grant = {100000, 1ull << 60, 2000, 40000}};
     printf("renewal, empty                     %8zu bytes\n", renew_bytes(0));
     printf("renewal, per instance              %8zu bytes\n",
            (renew_bytes(100) - renew_bytes(0)) / 100);
-    printf("grant                              %8zu bytes\n", encoded(&grant));
+    printf("grant                              %8zu bytes\n", encoded_bytes(&grant));
     printf("quorum heartbeat                   %8zu bytes\n", heartbeat_bytes());
     printf("one change, as sent to a node      %8zu bytes\n", change_bytes());
     printf("probe report, per instance         %8zu bytes\n",
            (probes_bytes(100) - probes_bytes(0)) / 100);
-    printf("snapshot text, per group           %8zu bytes\n", (t1 - t0) / 940);
-    printf("snapshot text, 940 groups          %8zu bytes\n", view_text(940));
+    printf("snapshot text, per group           %8zu bytes\n",
+           (bytes_of_1040 - bytes_of_100) / 940);
+    printf("snapshot text, 940 groups          %8zu bytes\n", view_text_bytes(940));
     printf("view in memory, per group          %8zu bytes\n", sizeof(struct vw_group));
     printf("entry: per group                   %8zu bytes\n", sizeof(struct en_group));
     printf("entry: per instance                %8zu bytes\n", sizeof(struct en_inst));
@@ -138,14 +139,14 @@
     return 0;
 }
 
-int bn_bytes(void)
+int bn_bounded_sizes(void)
 {
     struct wr_msg grant = {.type = WR_GRANT, .grant = {100000, 1ull << 60, 2000, 40000}};
     printf("renewal_of_51 %zu\n", renew_bytes(51));
-    printf("grant %zu\n", encoded(&grant));
+    printf("grant %zu\n", encoded_bytes(&grant));
     printf("heartbeat %zu\n", heartbeat_bytes());
     printf("change %zu\n", change_bytes());
-    printf("view_of_940 %zu\n", view_text(940));
+    printf("view_of_940 %zu\n", view_text_bytes(940));
     printf("entry_group %zu\n", sizeof(struct en_group));
     printf("entry_request %zu\n", sizeof(struct en_req));
     printf("promotion %zu\n", sizeof(struct pr_group));
