--- a/bench/callers.c
+++ b/bench/callers.c
@@ -1,4 +1,5 @@
-/* ferry-callers: opens many idle callers' connections to one entry node. */
+/* ferry-callers opens many connections to one entry node, which stay idle, and prints how many
+ * of them are open at the end. */
 #include <argp.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -46,7 +47,7 @@
          i++, callers->started++)
         nt_connect(callers->loop, "127.0.0.1", callers->port, false, &ops, callers);
     if (ck_now() >= callers->end) {
-        fprintf(stderr, "%d of %d open\n", callers->open, callers->count);
+        fprintf(stderr, "%d of %d connections open\n", callers->open, callers->count);
         nt_stop(callers->loop);
         return;
     }
@@ -69,12 +70,14 @@
 
 int main(int argc, char **argv)
 {
-    static const struct argp_option options[] = {{"count", 'c', "N", 0, "connections", 0},
-                                                 {"port", 'p', "PORT", 0, "entry node", 0},
-                                                 {"seconds", 't', "N", 0, "how long", 0},
-                                                 {0}};
+    static const struct argp_option options[] = {
+        {"count", 'c', "N", 0, "connections", 0},
+        {"port", 'p', "PORT", 0, "port of the entry node", 0},
+        {"seconds", 't', "N", 0, "duration", 0},
+        {0}};
     static struct callers callers = {.count = 100, .seconds = 5};
-    struct argp argp = {options, parse_option, NULL, "Idle callers.", NULL, NULL, NULL};
+    struct argp argp = {options, parse_option, NULL, "Opens idle connections to an entry node.",
+                        NULL,    NULL,         NULL};
     argp_parse(&argp, argc, argv, 0, NULL, &callers);
     struct er_err err = {0};
     callers.loop = nt_loop_create(callers.count + 256, &err);
--- a/bench/decisions.c
+++ b/bench/decisions.c
@@ -1,4 +1,5 @@
-/* One decision, repeated: run under callgrind with two counts, the difference is the cost. */
+/* Runs one decision repeatedly. Run under callgrind with two repeat counts: the difference,
+ * divided by the difference of the counts, is the cost of one decision without its setup. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -18,6 +19,7 @@
 #include "session/token.h"
 #include "wire/wire.h"
 
+/* Takes the results, so that the compiler cannot remove the decisions. */
 static volatile uint64_t result_sink;
 
 static void route_read(int n)
@@ -87,7 +89,7 @@
     }
 }
 
-/* A renewal that names one of 2,820 instances, each held by 8 nodes. */
+/* A lease renewal that reports the share of one of 2,820 instances, each held by 8 nodes. */
 static void share_at_target(int n)
 {
     enum { INSTANCES = 2820, HOLDERS = 8 };
@@ -109,7 +111,7 @@
     }
 }
 
-/* Eight holders of a group among 460 nodes in five failure domains. */
+/* Picks eight holders of a group among 460 nodes in five failure domains. */
 static void holders_of_460(int n)
 {
     enum { NODES = 460, DOMAINS = 5, HOLDERS = 8 };
@@ -174,7 +176,7 @@
     sr_buf_free(&b);
 }
 
-/* A renewal with the shares of nine instances, packed and read. */
+/* Encodes and decodes a lease renewal with the shares of nine instances. */
 static void wire_renew(int n)
 {
     struct wr_share s[9];
@@ -221,7 +223,8 @@
     (void)ud;
 }
 
-/* A follower takes one entry: message, disk, answer, apply. */
+/* A follower appends one entry: it receives the message, persists the entry, replies and
+ * applies the entry. */
 static void quorum_append(int n)
 {
     static const struct qr_sink sink = {stub_send, stub_persist, stub_apply, stub_restore,
@@ -254,6 +257,7 @@
     qr_destroy(q);
 }
 
+/* Looks up one key among 100,000 keys of 1,000 accounts. */
 static void key_of_100000(int n)
 {
     enum { ACCOUNTS = 1000, KEYS = 100000 };
@@ -271,7 +275,7 @@
         result_sink += ac_by_key(&t, sr_from(text)) != NULL;
 }
 
-/* What the leader does for one operation of an account that 16 nodes serve. */
+/* The work of the leader for one operation of an account that 16 nodes serve. */
 static void permit_of_16(int n)
 {
     enum { NODES = 16 };
@@ -318,6 +322,8 @@
         decisions[i].fn(n);
         return 0;
     }
-    fprintf(stderr, "no decision %s\n", name);
+    fprintf(stderr,
+            "unknown decision %s: expected a name that \"ferry-bench decisions\" prints\n",
+            name);
     return 64;
 }
--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -1,7 +1,7 @@
-/* ferry-fleet: many entry nodes as the control leader sees them, in one process. Each keeps a
- * connection to one control node, renews its lease as a real one does, and acknowledges views.
- * Reports bytes and messages a node, and how long a change takes until the last one acts on it.
- */
+/* ferry-fleet simulates many entry nodes towards the control nodes, in one process. Each
+ * simulated node keeps a connection to one control node, renews its lease as a real node does,
+ * and acknowledges views. Reports bytes and messages per node, and the time from the first to
+ * the last node that receives a change. */
 #include <argp.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -32,7 +32,7 @@
     struct fleet *f;
     struct nt_conn *net;
     bool open, has_lease;
-    int voter; /* which control node it talks to */
+    int voter; /* index of the control node in `ports` */
     uint64_t id, generation, seq, shares_seq;
     int64_t next_renew, lease_until;
 };
@@ -43,14 +43,15 @@
     char cluster[64], ip[46];
     int ports[MAX_VOTERS], n_voters, n;
     double seconds;
-    int instances, held_per_node; /* that there are; that a node holds connections to */
+    int instances, held_per_node; /* in the cluster; held by each node */
     char ids[4096][48];
     struct node nodes[MAX_NODES];
     struct wr_decoder dec;
-    int64_t end, measured_from; /* figures count from `steady` on, when all have their view */
+    /* Figures count from `measured_from` on, when all nodes have their view. */
+    int64_t end, measured_from;
     struct nt_counters start_counters;
-    uint64_t measured_generation; /* generation whose spread is being measured */
-    int64_t first_reached_at;     /* when the first node heard of it */
+    uint64_t measured_generation; /* newest generation, whose propagation is being measured */
+    int64_t first_reached_at;     /* time at which the first node received that generation */
     int n_reached;
     struct hi_hist propagation, grant;
     uint64_t grants, refused, views, snapshots, lost_leases;
@@ -70,7 +71,7 @@
     struct wr_share s[MAX_HELD];
     int n = f->instances < f->held_per_node ? f->instances : f->held_per_node;
     int first = (int)(node - f->nodes) *
-                f->held_per_node; /* so that each instance has as many holders */
+                f->held_per_node; /* spreads the holders evenly over the instances */
     for (int i = 0; i < n; i++)
         s[i] = (struct wr_share){sr_from(f->ids[(first + i) % f->instances]), 1, 1};
     struct wr_msg m = {.type = WR_RENEW,
@@ -167,7 +168,7 @@
         node->next_renew = now + CK_MS(m.grant.duration_ms) / RENEWALS_PER_LEASE;
     } else if (m.type == WR_NOT_LEADER) {
         f->refused++;
-        nt_close(node->net, true); /* and on to the next */
+        nt_close(node->net, true); /* on_close() selects the next control node */
     } else if (m.type == WR_VIEW) {
         on_view(node, &m.view);
     } else if (m.type == WR_SHARES) {
@@ -204,12 +205,13 @@
     int leased = 0;
     for (int i = 0; i < f->n; i++)
         leased += ck_now() < f->nodes[i].lease_until;
-    printf("%d nodes, %.1f s: leases held %d, lost %llu; a node sends %.0f and receives %.0f "
-           "bytes a second, %.1f messages a second\n",
-           f->n, s, leased, (unsigned long long)f->lost_leases, (double)out / s / f->n,
-           (double)in / s / f->n, (double)messages / s / f->n);
-    printf("changes that reached all: %llu; from the first node to the last p50 %.2f ms, worst "
-           "%.2f ms; views %llu, whole ones %llu\n",
+    printf(
+        "%d nodes, %.1f s: leases held %d, lost %llu; each node sends %.0f and receives %.0f "
+        "bytes/s, %.1f messages/s\n",
+        f->n, s, leased, (unsigned long long)f->lost_leases, (double)out / s / f->n,
+        (double)in / s / f->n, (double)messages / s / f->n);
+    printf("changes that reached all nodes: %llu; from the first node to the last p50 %.2f ms, "
+           "max %.2f ms; views %llu, of them snapshots %llu\n",
            (unsigned long long)f->propagation.count,
            (double)hi_quantile(&f->propagation, 0.5) / 1000, (double)f->propagation.max / 1000,
            (unsigned long long)f->views, (unsigned long long)f->snapshots);
@@ -270,7 +272,8 @@
         if (!f->n_voters || f->n < 1 || f->n > MAX_NODES || f->held_per_node < 1 ||
             f->held_per_node > MAX_HELD || f->seconds < 6)
             argp_error(st,
-                       "ports of control nodes, 1..%d nodes, 1..%d instances held, 6 s or more",
+                       "expected ports of control nodes, 1..%d nodes, 1..%d instances held per "
+                       "node, 6 s or more",
                        MAX_NODES, MAX_HELD);
         break;
     default:
@@ -282,15 +285,16 @@
 int main(int argc, char **argv)
 {
     static const struct argp_option options[] = {
-        {"nodes", 'n', "N", 0, "entry nodes (100)", 0},
-        {"seconds", 't', "N", 0, "how long (10)", 0},
-        {"hold", 'h', "N", 0, "instances a node holds (64)", 0},
+        {"nodes", 'n', "N", 0, "number of entry nodes (100)", 0},
+        {"seconds", 't', "N", 0, "duration (10)", 0},
+        {"hold", 'h', "N", 0, "instances that each node holds connections to (64)", 0},
         {"cluster", 'c', "NAME", 0, "cluster", 0},
         {0}};
     static struct fleet f = {
         .n = 100, .held_per_node = MAX_HELD, .seconds = 10, .ip = "127.0.0.1"};
-    struct argp argp = {options, parse_option, "PORT...", "Entry nodes as control sees them.",
-                        NULL,    NULL,         NULL};
+    struct argp argp = {
+        options, parse_option, "PORT...", "Simulates entry nodes towards control nodes.",
+        NULL,    NULL,         NULL};
     argp_parse(&argp, argc, argv, 0, NULL, &f);
     struct er_err err = {0};
     f.loop = nt_loop_create(4096, &err);
--- a/bench/messages.c
+++ b/bench/messages.c
@@ -1,4 +1,5 @@
-/* What one change of primary costs in messages and log entries, counted on the pure module. */
+/* Counts the messages and log entries of one change of primary, in a simulation of the
+ * promotion module. */
 #include <stdio.h>
 #include <string.h>
 
@@ -15,7 +16,8 @@
     int counts[PR_DO_PROBE + 1];
 };
 
-/* All that the module asks for is done at once: the least a change of primary can cost. */
+/* Performs the action at once, so that the counts are the minimum that a
+ * change of primary can take. */
 static void perform_action(struct simulation *sim, const struct pr_action *a)
 {
     const char *id = a->inst >= 0 ? sim->g.inst[a->inst].id : "";
--- a/bench/overload.c
+++ b/bench/overload.c
@@ -1,5 +1,6 @@
-/* Four entry nodes in front of one instance of three slots, at loads below and above what it
- * can do: the admission module against a plain first-come queue. Discrete events. */
+/* Discrete-event simulation of four entry nodes and one instance of three slots, at loads below
+ * and above the capacity of the instance. Compares the admission module with a first-come
+ * queue. */
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -23,10 +24,11 @@
 };
 
 struct job {
-    struct ad_item item; /* first */
+    /* The first member: dispatch() casts the item that the queue returns to its job. */
+    struct ad_item item;
     int entry, account;
     int64_t arrived_at, sent_at;
-    struct job *next; /* in the instance's queue */
+    struct job *next; /* next job in the queue of the instance */
 };
 
 enum event_kind { ARRIVE, AT_INSTANCE, SERVED, REPLY, SWEEP };
@@ -42,7 +44,7 @@
     struct event heap[MAX_EVENTS];
     int n;
     struct ad_queue q[ENTRY_NODES];
-    struct job *head, **tail; /* queue inside the instance */
+    struct job *head, **tail; /* jobs that wait for a slot of the instance */
     int running;
     double rate;
     uint64_t offered[ACCOUNTS], served_in_time[ACCOUNTS];
@@ -88,7 +90,7 @@
     return (int64_t)(-log(u) * mean) + 1;
 }
 
-/* Account 0 is noisy (70 %), account 7 the smallest (1 %). */
+/* Account 0 sends 70 % of the requests (the noisy one), account 7 sends 1 % (the smallest). */
 static int draw_account(struct simulation *sim)
 {
     uint64_t d = rn_below(&sim->rng, 100);
@@ -227,7 +229,7 @@
     double noisy_percent =
         sim.offered[0] ? 100.0 * (double)sim.served_in_time[0] / (double)sim.offered[0] : 0;
     printf("%5.1f  %-10s %9.0f %9.1f %9llu %8.2f%% %9.2f %9llu %8.0f%% %8.0f%%\n", load,
-           fifo ? "first-come" : "ours", (double)sum(sim.served_in_time) / DURATION_S,
+           fifo ? "first-come" : "admission", (double)sum(sim.served_in_time) / DURATION_S,
            (double)hi_quantile(&sim.latency, 0.99) / 1000, (unsigned long long)sim.refused,
            sim.refused ? 100.0 * (double)sim.refused_at_once / (double)sim.refused : 100.0,
            (double)sim.refusal_delay.max / 1000, (unsigned long long)sim.served_late,
@@ -237,12 +239,12 @@
 int bn_overload(void)
 {
     static const double loads[] = {0.5, 1, 2, 5};
-    printf("admission at multiples of capacity (%d slots of %d us = %d/s; %d entry nodes of %d "
-           "connections; deadline %d ms)\n",
+    printf("admission at multiples of the capacity (%d slots of %d us = %d/s; %d entry nodes "
+           "of %d connections; deadline %d ms)\n",
            SLOTS, SERVICE_US, SLOTS * 1000000 / SERVICE_US, ENTRY_NODES, CONNS_PER_ENTRY,
            DEADLINE_US / 1000);
-    printf("%5s  %-10s %9s %9s %9s %9s %9s %9s %9s %9s\n", "times", "", "goodput/s", "p99 ms",
-           "refused", "at once", "latest ms", "too late", "smallest", "noisy");
+    printf("%5s  %-10s %9s %9s %9s %9s %9s %9s %9s %9s\n", "load", "queue", "goodput/s",
+           "p99 ms", "refused", "at once", "latest ms", "too late", "smallest", "noisy");
     for (size_t i = 0; i < sizeof(loads) / sizeof(loads[0]); i++) {
         run(loads[i], true);
         run(loads[i], false);
--- a/bench/reads.c
+++ b/bench/reads.c
@@ -1,5 +1,6 @@
-/* Where reads go, on a simulated group: the router's choice, what the instance then says, and
- * what an oracle that knows every replica's true position would have done. */
+/* Simulates a group and counts the reads that the router sends to replicas, the reads that the
+ * chosen replica could serve, and the reads that an oracle could send to a replica. The oracle
+ * knows the true position of every replica. */
 #include <stdio.h>
 #include <string.h>
 
@@ -24,8 +25,8 @@
 struct simulation {
     struct rn_rng rng;
     int64_t lag_us;
-    int64_t written_at[MAX_POSITIONS];    /* when position p was written */
-    int64_t applied_at[2][MAX_POSITIONS]; /* when each replica applied it */
+    int64_t written_at[MAX_POSITIONS];    /* time at which position p was written */
+    int64_t applied_at[2][MAX_POSITIONS]; /* time at which replica r applied p */
     uint64_t pos;
     struct rt_group g;
     int64_t next_sample, pushed_at[2];
@@ -47,11 +48,12 @@
         int64_t jitter = (int64_t)rn_below(&sim->rng, (uint64_t)sim->lag_us / 5 + 1);
         int64_t at = now + ONE_WAY_US + sim->lag_us + jitter;
         int64_t before = sim->applied_at[r][sim->pos - 1];
-        sim->applied_at[r][sim->pos] = at > before ? at : before; /* in order */
+        /* A replica applies positions in order. */
+        sim->applied_at[r][sim->pos] = at > before ? at : before;
     }
 }
 
-/* The true position of replica r (or, with r < 0, of the primary) at a time. */
+/* The true position of replica r (of the primary if r < 0) at the time `at`. */
 static uint64_t pos_at(const struct simulation *sim, int r, int64_t at)
 {
     const int64_t *when = r < 0 ? sim->written_at : sim->applied_at[r];
@@ -66,7 +68,9 @@
     return lo;
 }
 
-/* What the entry node hears: pushes and samples, one way late. */
+/* Passes the router the positions that an entry node receives: pushes of the replicas, which
+ * arrive ONE_WAY_US late, and samples of the primary, which arrive a round trip after their
+ * request. */
 static void update_router(struct simulation *sim, int64_t now)
 {
     for (int r = 0; r < 2; r++) {
@@ -161,7 +165,7 @@
     printf("reads by replicas, %% of all reads (%d sessions, %d/s, %d %% writes, half of the "
            "reads accept %d ms; primary-only: 0 %%)\n",
            SESSIONS, RATE_PER_S, WRITES_PERCENT, AGE_MS);
-    printf("%8s %8s %10s %10s %10s %8s %8s %10s\n", "lag ms", "wait ms", "ours", "oracle",
+    printf("%8s %8s %10s %10s %10s %8s %8s %10s\n", "lag ms", "wait ms", "router", "oracle",
            "of oracle", "behind", "p50 ms", "p99 ms");
     for (size_t l = 0; l < sizeof(lags) / sizeof(lags[0]); l++) {
         for (size_t k = 0; k < sizeof(waits) / sizeof(waits[0]); k++) {
--- a/bench/sizes.c
+++ b/bench/sizes.c
@@ -1,4 +1,6 @@
-/* Bytes of messages and states, as slopes: the difference between two sizes. */
+/* Prints the bytes of messages and states. A size per instance or group is the difference
+ * between two sizes, divided by the difference of their counts, so that fixed parts do not
+ * count. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -11,6 +13,7 @@
 #include "view/view.h"
 #include "wire/wire.h"
 
+/* Encoded size with the 4-byte frame header. */
 static size_t encoded_bytes(const struct wr_msg *m)
 {
     struct sr_buf b = {0};
@@ -65,6 +68,7 @@
     }
 }
 
+/* Bytes of a JSON snapshot of a view of `groups` groups. */
 static size_t view_text_bytes(int groups)
 {
     struct vw_view v;
