--- a/ferryctl/accounts.c
+++ b/ferryctl/accounts.c
@@ -20,18 +20,18 @@
 struct table {
     int n;
     struct row *rows;
-    struct ix_index at;
+    struct ix_index row_index;
 };
 
-static struct row *row_of(struct table *t, const char *name)
+static struct row *find_or_add_row(struct table *t, const char *name)
 {
-    int i = ix_get(&t->at, name);
+    int i = ix_get(&t->row_index, name);
     if (i == IX_NONE) {
         i = t->n++;
         t->rows = sr_realloc(t->rows, sizeof(*t->rows) * (size_t)t->n);
         t->rows[i] = (struct row){0};
         sr_copy(t->rows[i].name, sizeof(t->rows[i].name), sr_from(name));
-        ix_set(&t->at, name, i);
+        ix_set(&t->row_index, name, i);
     }
     return &t->rows[i];
 }
@@ -45,47 +45,47 @@
     return ft_rate(n, metric, label);
 }
 
-static void take_begun(void *ud, const struct ft_node *n, const char *name, double v)
+static void add_begun(void *ud, const struct ft_node *n, const char *name, double v)
 {
-    struct row *r = row_of(ud, name);
+    struct row *r = find_or_add_row(ud, name);
     r->begun += v;
     r->begun_s += rate_of(n, "ferry_session_account_begun_total", name);
     r->nodes += v > 0;
 }
 
-static void take_refused(void *ud, const struct ft_node *n, const char *name, double v)
+static void add_refused(void *ud, const struct ft_node *n, const char *name, double v)
 {
-    struct row *r = row_of(ud, name);
+    struct row *r = find_or_add_row(ud, name);
     r->refused += v;
     r->refused_s += rate_of(n, "ferry_session_account_refused_total", name);
 }
 
-static void take_permits(void *ud, const struct ft_node *n, const char *name, double v)
+static void add_permits(void *ud, const struct ft_node *n, const char *name, double v)
 {
     (void)n;
-    row_of(ud, name)->permits += v;
+    find_or_add_row(ud, name)->permits += v;
 }
 
-static void take_rate(void *ud, const struct ft_node *n, const char *name, double v)
+static void set_rate(void *ud, const struct ft_node *n, const char *name, double v)
 {
-    struct row *r = row_of(ud, name);
+    struct row *r = find_or_add_row(ud, name);
     (void)n;
     r->limited = true;
     r->rate = v;
 }
 
-static void take_burst(void *ud, const struct ft_node *n, const char *name, double v)
+static void set_burst(void *ud, const struct ft_node *n, const char *name, double v)
 {
     (void)n;
-    row_of(ud, name)->burst = v;
+    find_or_add_row(ud, name)->burst = v;
 }
 
-static int more_used_first(const void *a, const void *b)
+static int compare_by_use(const void *a, const void *b)
 {
     const struct row *x = a, *y = b;
-    double here = x->begun + x->refused, there = y->begun + y->refused;
-    if (here != there)
-        return here < there ? 1 : -1;
+    double x_operations = x->begun + x->refused, y_operations = y->begun + y->refused;
+    if (x_operations != y_operations)
+        return x_operations < y_operations ? 1 : -1;
     return strcmp(x->name, y->name);
 }
 
@@ -93,14 +93,14 @@
 {
     for (int i = 0; i < f->n; i++) {
         const struct ft_node *n = &f->nodes[i];
-        ft_each(n, "ferry_session_account_begun_total", "account", take_begun, t);
-        ft_each(n, "ferry_session_account_refused_total", "account", take_refused, t);
-        ft_each(n, "ferry_session_account_permits", "account", take_permits, t);
-        ft_each(n, "ferry_session_account_rate", "account", take_rate, t);
-        ft_each(n, "ferry_session_account_burst", "account", take_burst, t);
+        ft_each(n, "ferry_session_account_begun_total", "account", add_begun, t);
+        ft_each(n, "ferry_session_account_refused_total", "account", add_refused, t);
+        ft_each(n, "ferry_session_account_permits", "account", add_permits, t);
+        ft_each(n, "ferry_session_account_rate", "account", set_rate, t);
+        ft_each(n, "ferry_session_account_burst", "account", set_burst, t);
     }
     if (t->n)
-        qsort(t->rows, (size_t)t->n, sizeof(*t->rows), more_used_first);
+        qsort(t->rows, (size_t)t->n, sizeof(*t->rows), compare_by_use);
 }
 
 /* Every node finds the same places: the first that answers is asked. */
@@ -214,7 +214,7 @@
     }
     json_decref(places);
     free(t.rows);
-    ix_free(&t.at);
+    ix_free(&t.row_index);
     ft_free(&f);
     return EX_GOOD;
 }
--- a/ferryctl/ctl.h
+++ b/ferryctl/ctl.h
@@ -11,8 +11,8 @@
     EX_GOOD = 0,
     EX_REFUSED = 1, /* the system said no, with a reason */
     EX_USAGE_ = 64,
-    EX_UNREACHED = 69, /* no control node answered */
-    EX_UNSURE = 75,    /* it may have been done: resend with the same id */
+    EX_UNREACHED = 69,       /* no control node answered */
+    EX_OUTCOME_UNKNOWN = 75, /* it may have been done: resend with the same id */
 };
 
 struct addr {
@@ -24,7 +24,7 @@
     int n;
     struct addr control[CT_MAX_CONTROL]; /* operators' ports */
     bool json, yes;
-    const char *who, *id, *group, *node, *kind, *svg, *out;
+    const char *who, *id, *group, *node, *kind, *svg, *plan_file;
     int n_args;
     char *args[CT_MAX_ARGS];
 };
@@ -34,8 +34,8 @@
                 json_t **answer, char **text);
 /* Ask one control node after another until one answers; the leader if `leader`. What no leader
  * took (an election, a lost quorum) was not done: it is asked again for 3 s. */
-int ctl_ask(const struct ctl *c, bool leader, const char *method, const char *path,
-            const char *body, json_t **answer, char **text, struct addr *from);
+int ctl_request_any(const struct ctl *c, bool leader, const char *method, const char *path,
+                    const char *body, json_t **answer, char **text, struct addr *from);
 bool ctl_parse_addr(const char *s, struct addr *a);
 
 /* show.c: tables for people. */
--- a/ferryctl/fleet.c
+++ b/ferryctl/fleet.c
@@ -10,56 +10,56 @@
 #include "task/net.h"
 
 enum {
-    AT_ONCE = 64,         /* requests */
-    GIVE_UP_US = 4000000, /* nodes that have not answered by then are passed over */
-    BETWEEN_US = 1000000, /* samples */
+    MAX_PENDING_REQUESTS = 64,    /* requests */
+    SAMPLE_TIMEOUT_US = 4000000,  /* nodes that have not answered by then are passed over */
+    SAMPLE_INTERVAL_US = 1000000, /* samples */
 };
 
 /* ---- asking ---- */
 
-struct asking {
+struct sampling {
     struct ft_fleet *f;
     struct nt_loop *loop;
     int sample;
-    int next, open; /* the node to ask next; requests that are out */
+    int next, pending; /* the node to ask next; requests that are out */
 };
 
-struct question {
-    struct asking *a;
+struct sample_request {
+    struct sampling *a;
     struct ft_node *node;
 };
 
-static void ask_more(struct asking *a);
+static void send_requests(struct sampling *a);
 
-static void done(void *ud, int status, const char *body, size_t len)
+static void on_response(void *ud, int status, const char *body, size_t len)
 {
-    struct question *q = ud;
-    struct asking *a = q->a;
+    struct sample_request *q = ud;
+    struct sampling *a = q->a;
     if (status == 200) {
         q->node->metrics[a->sample] = strndup(body, len);
-        q->node->at[a->sample] = ck_now();
+        q->node->received_at_us[a->sample] = ck_now();
     }
     free(q);
-    a->open--;
-    ask_more(a);
-    if (a->open == 0)
+    a->pending--;
+    send_requests(a);
+    if (a->pending == 0)
         nt_stop(a->loop);
 }
 
-static void ask_more(struct asking *a)
+static void send_requests(struct sampling *a)
 {
-    while (a->open < AT_ONCE && a->next < a->f->n) {
+    while (a->pending < MAX_PENDING_REQUESTS && a->next < a->f->n) {
         struct ft_node *x = &a->f->nodes[a->next++];
         if (x->node.port == 0)
             continue;
-        struct question *q = sr_alloc(sizeof(*q));
-        *q = (struct question){a, x};
-        a->open++;
-        nt_http_get(a->loop, x->node.ip, x->node.port, "GET", "/metrics", NULL, done, q);
+        struct sample_request *q = sr_alloc(sizeof(*q));
+        *q = (struct sample_request){a, x};
+        a->pending++;
+        nt_http_get(a->loop, x->node.ip, x->node.port, "GET", "/metrics", NULL, on_response, q);
     }
 }
 
-static void give_up(void *ud)
+static void on_timeout(void *ud)
 {
     nt_stop(ud);
 }
@@ -67,19 +67,19 @@
 /* What is out when time is up is answered to nobody: the loop does not run any more. */
 static void take_sample(struct ft_fleet *f, int sample)
 {
-    struct asking *a = sr_alloc(sizeof(*a));
-    struct nt_timer late = {0};
+    struct sampling *a = sr_alloc(sizeof(*a));
+    struct nt_timer timeout = {0};
     struct er_err err = {0};
-    *a = (struct asking){f, nt_loop_create(2 * AT_ONCE, &err), sample, 0, 0};
+    *a = (struct sampling){f, nt_loop_create(2 * MAX_PENDING_REQUESTS, &err), sample, 0, 0};
     if (!a->loop) {
         fprintf(stderr, "ferryctl: %s\n", err.text);
         return;
     }
-    nt_timer_set(a->loop, &late, GIVE_UP_US, give_up, a->loop);
-    ask_more(a);
-    if (a->open > 0)
+    nt_timer_set(a->loop, &timeout, SAMPLE_TIMEOUT_US, on_timeout, a->loop);
+    send_requests(a);
+    if (a->pending > 0)
         nt_run(a->loop);
-    nt_timer_cancel(&late);
+    nt_timer_cancel(&timeout);
 }
 
 /* ---- the nodes ---- */
@@ -100,7 +100,7 @@
 {
     json_t *list = NULL, *x;
     size_t i;
-    int status = ctl_ask(c, true, "GET", "/v1/nodes", NULL, &list, NULL, NULL);
+    int status = ctl_request_any(c, true, "GET", "/v1/nodes", NULL, &list, NULL, NULL);
     if (status != 200)
         return show_error(status, list);
     f->nodes = sr_alloc(sizeof(*f->nodes) * (json_array_size(list) + 1));
@@ -120,7 +120,7 @@
         return rc;
     for (int i = 0; i < FT_SAMPLES; i++) {
         if (i > 0)
-            usleep(BETWEEN_US);
+            usleep(SAMPLE_INTERVAL_US);
         take_sample(f, i);
     }
     return EX_GOOD;
@@ -139,13 +139,13 @@
 /* ---- numbers ---- */
 
 /* The next line of that name from *at on: its labels "" if it has none, and its value. */
-static bool next_line(const char **at, const char *name, char *labels, size_t cap,
+static bool next_line(const char **next, const char *name, char *labels, size_t cap,
                       double *value)
 {
     size_t len = strlen(name);
-    while (*at && **at) {
-        const char *line = *at, *end = strchrnul(line, '\n');
-        *at = *end ? end + 1 : end;
+    while (*next && **next) {
+        const char *line = *next, *end = strchrnul(line, '\n');
+        *next = *end ? end + 1 : end;
         if (strncmp(line, name, len) != 0 || (line[len] != ' ' && line[len] != '{'))
             continue;
         const char *close = line[len] == '{' ? memchr(line, '}', (size_t)(end - line)) : NULL;
@@ -175,27 +175,27 @@
 
 double ft_rate(const struct ft_node *n, const char *name, const char *label)
 {
-    int64_t us = n->at[1] - n->at[0];
+    int64_t us = n->received_at_us[1] - n->received_at_us[0];
     if (!n->metrics[0] || !n->metrics[1] || us <= 0)
         return 0;
-    double grown = sum(n->metrics[1], name, label) - sum(n->metrics[0], name, label);
-    return grown > 0 ? grown * 1e6 / (double)us
-                     : 0; /* a node that started anew counts from 0 */
+    double growth = sum(n->metrics[1], name, label) - sum(n->metrics[0], name, label);
+    return growth > 0 ? growth * 1e6 / (double)us
+                      : 0; /* a node that started anew counts from 0 */
 }
 
 void ft_each(const struct ft_node *n, const char *name, const char *key,
-             void (*take)(void *, const struct ft_node *, const char *, double), void *ud)
+             void (*on_line)(void *, const struct ft_node *, const char *, double), void *ud)
 {
-    const char *at = n->metrics[FT_SAMPLES - 1];
-    char labels[256], open[64];
+    const char *next = n->metrics[FT_SAMPLES - 1];
+    char labels[256], prefix[64];
     double v;
-    snprintf(open, sizeof(open), "%s=\"", key);
-    while (next_line(&at, name, labels, sizeof(labels), &v)) {
-        char *from = strstr(labels, open);
+    snprintf(prefix, sizeof(prefix), "%s=\"", key);
+    while (next_line(&next, name, labels, sizeof(labels), &v)) {
+        char *from = strstr(labels, prefix);
         if (!from)
             continue;
-        from += strlen(open);
+        from += strlen(prefix);
         from[strcspn(from, "\"")] = 0;
-        take(ud, n, from, v);
+        on_line(ud, n, from, v);
     }
 }
--- a/ferryctl/fleet.h
+++ b/ferryctl/fleet.h
@@ -10,8 +10,8 @@
 struct ft_node {
     struct ho_node node; /* as control tells of it; port is that of its pages */
     bool lease;
-    char *metrics[FT_SAMPLES]; /* NULL: no answer */
-    int64_t at[FT_SAMPLES];    /* when it came */
+    char *metrics[FT_SAMPLES];          /* NULL: no answer */
+    int64_t received_at_us[FT_SAMPLES]; /* when it came */
 };
 
 struct ft_fleet {
@@ -29,7 +29,8 @@
 double ft_rate(const struct ft_node *n, const char *name, const char *label);
 /* Go through the last sample's lines of that name with a label called `key`. */
 void ft_each(const struct ft_node *n, const char *name, const char *key,
-             void (*take)(void *ud, const struct ft_node *n, const char *label, double value),
+             void (*on_line)(void *ud, const struct ft_node *n, const char *label,
+                             double value),
              void *ud);
 
 #endif
--- a/ferryctl/http.c
+++ b/ferryctl/http.c
@@ -8,41 +8,41 @@
 #include "misc/str.h"
 #include "task/net.h"
 
-enum { GIVE_UP_US = 8000000, ELECTION_TRIES = 15, ELECTION_WAIT_US = 200000 };
+enum { REQUEST_TIMEOUT_US = 8000000, ELECTION_RETRIES = 15, ELECTION_WAIT_US = 200000 };
 
-struct wait {
+struct pending_request {
     struct nt_loop *loop;
     int status;
     char *text;
 };
 
-static void done(void *ud, int status, const char *body, size_t len)
+static void on_response(void *ud, int status, const char *body, size_t len)
 {
-    struct wait *w = ud;
+    struct pending_request *w = ud;
     w->status = status;
     w->text = strndup(body, len);
     nt_stop(w->loop);
 }
 
-static void give_up(void *ud)
+static void on_timeout(void *ud)
 {
-    struct wait *w = ud;
+    struct pending_request *w = ud;
     nt_stop(w->loop);
 }
 
 int ctl_request(const struct addr *a, const char *method, const char *path, const char *body,
                 json_t **answer, char **text)
 {
-    struct wait *w = sr_alloc(sizeof(*w));
+    struct pending_request *w = sr_alloc(sizeof(*w));
     struct er_err err = {0};
-    struct nt_timer late = {0};
+    struct nt_timer timeout = {0};
     w->loop = nt_loop_create(64, &err);
     if (!w->loop)
         return 0;
-    nt_timer_set(w->loop, &late, GIVE_UP_US, give_up, w);
-    nt_http_get(w->loop, a->ip, a->port, method, path, body, done, w);
+    nt_timer_set(w->loop, &timeout, REQUEST_TIMEOUT_US, on_timeout, w);
+    nt_http_get(w->loop, a->ip, a->port, method, path, body, on_response, w);
     nt_run(w->loop);
-    nt_timer_cancel(&late);
+    nt_timer_cancel(&timeout);
     int status = w->status;
     if (answer)
         *answer = w->text ? json_loads(w->text, 0, NULL) : NULL;
@@ -61,7 +61,7 @@
            a->port > 0 && a->port < 65536;
 }
 
-static bool leads(const struct addr *a)
+static bool is_confirmed_leader(const struct addr *a)
 {
     json_t *s = NULL;
     int status = ctl_request(a, "GET", "/v1/status", NULL, &s, NULL);
@@ -71,13 +71,13 @@
     return yes;
 }
 
-static int ask_once(const struct ctl *c, bool leader, const char *method, const char *path,
-                    const char *body, json_t **answer, char **text, struct addr *from)
+static int request_once(const struct ctl *c, bool leader, const char *method, const char *path,
+                        const char *body, json_t **answer, char **text, struct addr *from)
 {
     int status = 0;
     for (int round = 0; round < 2 && status == 0; round++) {
         for (int i = 0; i < c->n && status == 0; i++) {
-            if (round == 0 && leader && !leads(&c->control[i]))
+            if (round == 0 && leader && !is_confirmed_leader(&c->control[i]))
                 continue;
             if (from)
                 *from = c->control[i];
@@ -87,20 +87,20 @@
     return status;
 }
 
-int ctl_ask(const struct ctl *c, bool leader, const char *method, const char *path,
-            const char *body, json_t **answer, char **text, struct addr *from)
+int ctl_request_any(const struct ctl *c, bool leader, const char *method, const char *path,
+                    const char *body, json_t **answer, char **text, struct addr *from)
 {
-    int status = ask_once(c, leader, method, path, body, answer, text, from);
-    for (int i = 0; i < ELECTION_TRIES; i++) {
-        bool electing = status == er_http(ER_NOT_LEADER) || status == er_http(ER_NO_QUORUM);
-        if (!leader || !electing)
+    int status = request_once(c, leader, method, path, body, answer, text, from);
+    for (int i = 0; i < ELECTION_RETRIES; i++) {
+        bool no_leader = status == er_http(ER_NOT_LEADER) || status == er_http(ER_NO_QUORUM);
+        if (!leader || !no_leader)
             break;
         if (answer)
             json_decref(*answer);
         if (text)
             free(*text);
         usleep(ELECTION_WAIT_US);
-        status = ask_once(c, leader, method, path, body, answer, text, from);
+        status = request_once(c, leader, method, path, body, answer, text, from);
     }
     return status;
 }
--- a/ferryctl/main.c
+++ b/ferryctl/main.c
@@ -52,7 +52,7 @@
     "\vExit codes: 0 done, 1 refused, 64 usage, 69 no control node answers, 75 may have been "
     "done: resend with the same --id.";
 
-static void set_control(struct ctl *c, const char *list)
+static void parse_control_list(struct ctl *c, const char *list)
 {
     char part[80];
     c->n = 0;
@@ -65,14 +65,14 @@
     }
 }
 
-static void add_word(struct ctl *c, char *word, struct argp_state *st)
+static void add_arg(struct ctl *c, char *word, struct argp_state *st)
 {
     if (c->n_args == CT_MAX_ARGS)
         argp_error(st, "too many words");
     c->args[c->n_args++] = word;
 }
 
-static void check_words(const struct ctl *c, struct argp_state *st)
+static void check_args(const struct ctl *c, struct argp_state *st)
 {
     if (c->n_args == 0)
         argp_error(st, "a command is needed");
@@ -86,7 +86,7 @@
     struct ctl *c = st->input;
     switch (key) {
     case 'c':
-        set_control(c, arg);
+        parse_control_list(c, arg);
         break;
     case O_JSON:
         c->json = true;
@@ -101,7 +101,7 @@
         c->id = arg;
         break;
     case 'o':
-        c->out = arg;
+        c->plan_file = arg;
         break;
     case O_GROUP:
         c->group = arg;
@@ -116,10 +116,10 @@
         c->svg = arg;
         break;
     case ARGP_KEY_ARG:
-        add_word(c, arg, st);
+        add_arg(c, arg, st);
         break;
     case ARGP_KEY_END:
-        check_words(c, st);
+        check_args(c, st);
         break;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -127,7 +127,7 @@
     return 0;
 }
 
-static int usage(const char *what)
+static int usage_error(const char *what)
 {
     fprintf(stderr, "ferryctl: %s; see ferryctl --help\n", what);
     return EX_USAGE_;
@@ -135,10 +135,10 @@
 
 /* ---- reading ---- */
 
-static int read_page(const struct ctl *c, const char *path, void (*show)(const json_t *))
+static int show_page(const struct ctl *c, const char *path, void (*show)(const json_t *))
 {
     json_t *a = NULL;
-    int status = ctl_ask(c, true, "GET", path, NULL, &a, NULL, NULL);
+    int status = ctl_request_any(c, true, "GET", path, NULL, &a, NULL, NULL);
     if (status != 200)
         return show_error(status, a);
     if (c->json)
@@ -149,7 +149,7 @@
     return EX_GOOD;
 }
 
-static int metrics(const struct ctl *c)
+static int show_metrics(const struct ctl *c)
 {
     bool any = false;
     for (int i = 0; i < c->n; i++) {
@@ -163,11 +163,11 @@
     return any ? EX_GOOD : show_error(0, NULL);
 }
 
-static int intent(const struct ctl *c, const char *id)
+static int show_intent_by_id(const struct ctl *c, const char *id)
 {
     json_t *s = NULL, *x;
     size_t i;
-    int status = ctl_ask(c, true, "GET", "/v1/status", NULL, &s, NULL, NULL);
+    int status = ctl_request_any(c, true, "GET", "/v1/status", NULL, &s, NULL, NULL);
     if (status != 200)
         return show_error(status, s);
     json_array_foreach(json_object_get(json_object_get(s, "view"), "intents"), i, x)
@@ -188,7 +188,7 @@
 
 /* ---- planning and confirming ---- */
 
-static json_t *rule_args(const char *group, const char *age)
+static json_t *rule_plan_args(const char *group, const char *age)
 {
     char *end;
     json_int_t ms = strtoll(age, &end, 10);
@@ -198,7 +198,7 @@
     return NULL;
 }
 
-static json_t *args_of(const struct ctl *c, int first)
+static json_t *plan_args(const struct ctl *c, int first)
 {
     int n = c->n_args - first;
     char *const *w = &c->args[first];
@@ -206,7 +206,7 @@
     if (n == 3 && drain)
         return json_pack("{s:s,s:s,s:s}", "kind", w[0], "group", w[1], "instance", w[2]);
     if (n == 3 && strcmp(w[0], "rule") == 0)
-        return rule_args(w[1], w[2]);
+        return rule_plan_args(w[1], w[2]);
     json_t *file = n == 3 ? json_load_file(w[2], 0, NULL) : NULL;
     if (file && strcmp(w[0], "move") == 0)
         return json_pack("{s:s,s:s,s:o}", "kind", "move", "group", w[1], "instances", file);
@@ -216,7 +216,7 @@
     return NULL;
 }
 
-static void draw_id(char *out, size_t cap)
+static void make_id(char *out, size_t cap)
 {
     unsigned char raw[8];
     randombytes_buf(raw, sizeof(raw));
@@ -226,7 +226,7 @@
 static int confirm(const struct ctl *c, const json_t *plan)
 {
     char id[32], *body;
-    draw_id(id, sizeof(id));
+    make_id(id, sizeof(id));
     const char *who = c->who ? c->who : getenv("USER");
     json_t *o = json_pack("{s:s,s:s}", "id", c->id ? c->id : id, "who", who ? who : "operator");
     json_object_set(o, "args", json_object_get(plan, "args"));
@@ -234,7 +234,7 @@
     json_object_set(o, "number", json_object_get(plan, "number"));
     body = json_dumps(o, JSON_COMPACT);
     json_t *a = NULL;
-    int status = ctl_ask(c, true, "POST", "/v1/confirm", body, &a, NULL, NULL);
+    int status = ctl_request_any(c, true, "POST", "/v1/confirm", body, &a, NULL, NULL);
     free(body);
     if (status == 0 || status == 504)
         fprintf(stderr, "ferryctl: the id was %s\n", c->id ? c->id : id);
@@ -251,12 +251,12 @@
 
 static int plan(const struct ctl *c, int first, bool may_confirm)
 {
-    json_t *args = args_of(c, first);
+    json_t *args = plan_args(c, first);
     if (!args)
-        return usage("wrong arguments, or the file is no JSON");
+        return usage_error("wrong arguments, or the file is no JSON");
     char *body = json_dumps(args, JSON_COMPACT);
     json_t *p = NULL;
-    int status = ctl_ask(c, true, "POST", "/v1/plan", body, &p, NULL, NULL);
+    int status = ctl_request_any(c, true, "POST", "/v1/plan", body, &p, NULL, NULL);
     free(body);
     json_decref(args);
     if (status != 200)
@@ -265,8 +265,8 @@
         print_json(p);
     else
         show_plan(p);
-    if (c->out && json_dump_file(p, c->out, JSON_INDENT(2)) != 0)
-        return usage("the plan can't be written");
+    if (c->plan_file && json_dump_file(p, c->plan_file, JSON_INDENT(2)) != 0)
+        return usage_error("the plan can't be written");
     int rc = EX_GOOD;
     if (may_confirm && c->yes)
         rc = confirm(c, p);
@@ -281,7 +281,7 @@
 {
     json_t *p = json_load_file(path, 0, NULL);
     if (!p)
-        return usage("the plan file can't be read");
+        return usage_error("the plan file can't be read");
     int rc = confirm(c, p);
     json_decref(p);
     return rc;
@@ -291,15 +291,15 @@
 {
     const char *cmd = c->args[0];
     if (strcmp(cmd, "status") == 0)
-        return read_page(c, "/v1/status", show_status);
+        return show_page(c, "/v1/status", show_status);
     if (strcmp(cmd, "members") == 0)
-        return read_page(c, "/v1/members", show_members);
+        return show_page(c, "/v1/members", show_members);
     if (strcmp(cmd, "nodes") == 0)
         return ctl_nodes(c);
     if (strcmp(cmd, "accounts") == 0 && c->n_args <= 2)
         return ctl_accounts(c);
     if (strcmp(cmd, "metrics") == 0)
-        return metrics(c);
+        return show_metrics(c);
     if (strcmp(cmd, "timeline") == 0)
         return ctl_timeline(c);
     if (strcmp(cmd, "explain") == 0 && c->n_args > 2)
@@ -307,7 +307,7 @@
     if (strcmp(cmd, "worth") == 0 && c->n_args > 1)
         return ctl_worth(c);
     if (strcmp(cmd, "intent") == 0 && c->n_args == 2)
-        return intent(c, c->args[1]);
+        return show_intent_by_id(c, c->args[1]);
     if (strcmp(cmd, "confirm") == 0 && c->n_args == 2)
         return confirm_file(c, c->args[1]);
     if (strcmp(cmd, "plan") == 0 && c->n_args > 1)
@@ -317,7 +317,7 @@
         if (strcmp(cmd, intents[i]) == 0)
             return plan(c, 0, true);
     }
-    return usage("unknown command or wrong arguments");
+    return usage_error("unknown command or wrong arguments");
 }
 
 int main(int argc, char **argv)
@@ -328,7 +328,7 @@
     if (sodium_init() < 0)
         return EX_UNREACHED;
     if (getenv("FERRY_CONTROL"))
-        set_control(&c, getenv("FERRY_CONTROL"));
+        parse_control_list(&c, getenv("FERRY_CONTROL"));
     argp_parse(&argp, argc, argv, 0, NULL, &c);
     return run(&c);
 }
--- a/ferryctl/nodes.c
+++ b/ferryctl/nodes.c
@@ -7,19 +7,19 @@
 #include "ferryctl/fleet.h"
 #include "misc/str.h"
 
-enum peer { INSTANCES, NODES, ASKERS, CONTROL, CALLERS, PEERS };
+enum peer { INSTANCES, SERVING_NODES, RELAYING_NODES, CONTROL, CALLERS, PEERS };
 
 /* Numbers of a node; bytes a second, both ways together but for `out` and `in`. */
 struct row {
-    const struct ft_node *of;
+    const struct ft_node *node;
     bool answered;
-    double out, in, link; /* the link: each way, 0 not told */
+    double out_s, in_s, link_s; /* the link: each way, 0 not told */
     double peer[PEERS];
-    double passed, served; /* statements a second to and for other nodes */
+    double relayed_s, served_s; /* statements a second to and for other nodes */
     double groups, conns, sessions, waiting;
 };
 
-static double both_ways(const struct ft_node *n, const char *peer)
+static double rate_both_directions(const struct ft_node *n, const char *peer)
 {
     return ft_rate(n, "ferry_session_bytes_out_total", peer) +
            ft_rate(n, "ferry_session_bytes_in_total", peer);
@@ -27,15 +27,15 @@
 
 static void read_links(const struct ft_node *n, struct row *r)
 {
-    r->out = ft_rate(n, "ferry_net_bytes_out_total", "");
-    r->in = ft_rate(n, "ferry_net_bytes_in_total", "");
-    r->link = ft_value(n, "ferry_node_link_kbps", "") * 1000 / 8;
-    r->peer[INSTANCES] = both_ways(n, "peer=\"instance\"");
-    r->peer[NODES] = both_ways(n, "peer=\"node\"");
-    r->peer[ASKERS] = both_ways(n, "peer=\"asker\"");
+    r->out_s = ft_rate(n, "ferry_net_bytes_out_total", "");
+    r->in_s = ft_rate(n, "ferry_net_bytes_in_total", "");
+    r->link_s = ft_value(n, "ferry_node_link_kbps", "") * 1000 / 8;
+    r->peer[INSTANCES] = rate_both_directions(n, "peer=\"instance\"");
+    r->peer[SERVING_NODES] = rate_both_directions(n, "peer=\"node\"");
+    r->peer[RELAYING_NODES] = rate_both_directions(n, "peer=\"asker\"");
     r->peer[CONTROL] = ft_rate(n, "ferry_control_link_bytes_out_total", "") +
                        ft_rate(n, "ferry_control_link_bytes_in_total", "");
-    double rest = r->out + r->in;
+    double rest = r->out_s + r->in_s;
     for (int i = 0; i < CALLERS; i++)
         rest -= r->peer[i];
     r->peer[CALLERS] = rest > 0 ? rest : 0;
@@ -43,12 +43,12 @@
 
 static struct row read_row(const struct ft_node *n)
 {
-    struct row r = {.of = n, .answered = n->metrics[FT_SAMPLES - 1] != NULL};
+    struct row r = {.node = n, .answered = n->metrics[FT_SAMPLES - 1] != NULL};
     if (!r.answered)
         return r;
     read_links(n, &r);
-    r.passed = ft_rate(n, "ferry_session_peer_statements_total", "peer=\"node\"");
-    r.served = ft_rate(n, "ferry_session_peer_statements_total", "peer=\"asker\"");
+    r.relayed_s = ft_rate(n, "ferry_session_peer_statements_total", "peer=\"node\"");
+    r.served_s = ft_rate(n, "ferry_session_peer_statements_total", "peer=\"asker\"");
     r.groups = ft_value(n, "ferry_session_groups_held", "");
     r.conns = ft_value(n, "ferry_session_instance_connections", "") +
               ft_value(n, "ferry_instance_connections", "");
@@ -58,24 +58,24 @@
     return r;
 }
 
-static double busier_way(const struct row *r)
+static double busier_direction(const struct row *r)
 {
-    return r->out > r->in ? r->out : r->in;
+    return r->out_s > r->in_s ? r->out_s : r->in_s;
 }
 
 /* Nodes whose links are told by the part that is used, before the others by bytes. */
-static int fullest_first(const void *a, const void *b)
+static int compare_by_link_use(const void *a, const void *b)
 {
     const struct row *x = a, *y = b;
-    double here = x->link > 0 ? busier_way(x) / x->link : 0;
-    double there = y->link > 0 ? busier_way(y) / y->link : 0;
-    if (here == there) {
-        here = busier_way(x);
-        there = busier_way(y);
+    double x_use = x->link_s > 0 ? busier_direction(x) / x->link_s : 0;
+    double y_use = y->link_s > 0 ? busier_direction(y) / y->link_s : 0;
+    if (x_use == y_use) {
+        x_use = busier_direction(x);
+        y_use = busier_direction(y);
     }
-    if (here == there)
-        return strcmp(x->of->node.name, y->of->node.name);
-    return here < there ? 1 : -1;
+    if (x_use == y_use)
+        return strcmp(x->node->node.name, y->node->node.name);
+    return x_use < y_use ? 1 : -1;
 }
 
 static struct row *read_rows(struct ft_fleet *f)
@@ -89,14 +89,14 @@
         f->nodes[i].node.strong = nodes[i].carries > 0 && nodes[i].strong;
         rows[i] = read_row(&f->nodes[i]);
     }
-    qsort(rows, (size_t)f->n, sizeof(*rows), fullest_first);
+    qsort(rows, (size_t)f->n, sizeof(*rows), compare_by_link_use);
     free(nodes);
     return rows;
 }
 
 /* ---- showing ---- */
 
-static void show_head(void)
+static void print_header(void)
 {
     printf(
         "link: kB a second, and the busier way's part of what the VM is told to have; by peer: "
@@ -108,43 +108,43 @@
            "askers", "control", "callers", "bytes a statement passed, served");
 }
 
-static double each(double bytes, double statements)
+static double bytes_per_statement(double bytes, double statements)
 {
     return statements > 0 ? bytes / statements : 0;
 }
 
 static void show_row(const struct row *r)
 {
-    const struct ho_node *n = &r->of->node;
-    printf("%-16s %-16s %-8s %8d %-6s", n->name, n->domain, r->of->lease ? "held" : "none",
+    const struct ho_node *n = &r->node->node;
+    printf("%-16s %-16s %-8s %8d %-6s", n->name, n->domain, r->node->lease ? "held" : "none",
            n->carries, n->strong ? "strong" : "");
     if (!r->answered) {
         printf(" no answer from %s:%d\n", n->ip, n->port);
         return;
     }
-    printf(" %6.0f %6.0f %8.0f %8.1f %8.1f %7.0f", r->groups, r->conns, r->sessions, r->passed,
-           r->served, r->waiting);
-    printf(" %8.1f %8.1f", r->out / 1e3, r->in / 1e3);
-    if (r->link > 0)
-        printf(" %4.0f %%", busier_way(r) * 100 / r->link);
+    printf(" %6.0f %6.0f %8.0f %8.1f %8.1f %7.0f", r->groups, r->conns, r->sessions,
+           r->relayed_s, r->served_s, r->waiting);
+    printf(" %8.1f %8.1f", r->out_s / 1e3, r->in_s / 1e3);
+    if (r->link_s > 0)
+        printf(" %4.0f %%", busier_direction(r) * 100 / r->link_s);
     else
         printf(" %6s", "-");
     printf(" |");
     for (int i = 0; i < PEERS; i++)
         printf(" %8.1f", r->peer[i] / 1e3);
-    printf(" | %.0f, %.0f\n", each(r->peer[NODES], r->passed),
-           each(r->peer[ASKERS], r->served));
+    printf(" | %.0f, %.0f\n", bytes_per_statement(r->peer[SERVING_NODES], r->relayed_s),
+           bytes_per_statement(r->peer[RELAYING_NODES], r->served_s));
 }
 
 static json_t *row_json(const struct row *r)
 {
-    const struct ho_node *n = &r->of->node;
+    const struct ho_node *n = &r->node->node;
     return json_pack("{s:s,s:s,s:b,s:b,s:i,s:b,s:f,s:f,s:f,s:f,s:f,s:f,s:f,s:f,s:f}", "name",
-                     n->name, "domain", n->domain, "lease", r->of->lease, "answered",
+                     n->name, "domain", n->domain, "lease", r->node->lease, "answered",
                      r->answered, "carries", n->carries, "strong", n->strong, "groups",
                      r->groups, "connections", r->conns, "sessions", r->sessions, "passed_s",
-                     r->passed, "served_s", r->served, "waiting", r->waiting, "out_s", r->out,
-                     "in_s", r->in, "link", r->link);
+                     r->relayed_s, "served_s", r->served_s, "waiting", r->waiting, "out_s",
+                     r->out_s, "in_s", r->in_s, "link", r->link_s);
 }
 
 int ctl_nodes(const struct ctl *c)
@@ -156,7 +156,7 @@
     struct row *rows = read_rows(&f);
     json_t *all = json_array();
     if (!c->json)
-        show_head();
+        print_header();
     for (int i = 0; i < f.n; i++) {
         if (c->json)
             json_array_append_new(all, row_json(&rows[i]));
--- a/ferryctl/show.c
+++ b/ferryctl/show.c
@@ -118,5 +118,5 @@
     fprintf(stderr, "ferryctl: refused (%s): %s%s%s\n  next: %s\n", text(a, "reason"),
             text(a, "detail"), leader[0] ? "; the leader is " : "", leader,
             advice(text(a, "reason")));
-    return status == 504 ? EX_UNSURE : EX_REFUSED;
+    return status == 504 ? EX_OUTCOME_UNKNOWN : EX_REFUSED;
 }
--- a/ferryctl/timeline.c
+++ b/ferryctl/timeline.c
@@ -73,7 +73,7 @@
 {
     json_t *nodes = NULL, *x;
     size_t i;
-    if (ctl_ask(c, true, "GET", "/v1/nodes", NULL, &nodes, NULL, NULL) != 200)
+    if (ctl_request_any(c, true, "GET", "/v1/nodes", NULL, &nodes, NULL, NULL) != 200)
         return;
     json_array_foreach(nodes, i, x)
     {
