--- a/ferryctl/accounts.c
+++ b/ferryctl/accounts.c
@@ -1,4 +1,5 @@
-/* Client accounts by use: what they may ask for, what they do, and where they are placed. */
+/* ferryctl accounts: client accounts sorted by use, with their limits, their rates and the
+ * nodes on which their groups are placed. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -10,11 +11,11 @@
 struct row {
     char name[IX_NAME];
     bool limited;
-    double rate, burst;        /* its limit */
+    double rate, burst;        /* limit of the account */
     double begun, refused;     /* operations so far */
-    double begun_s, refused_s; /* a second, now */
-    double permits;            /* at hand, on all nodes */
-    int nodes;                 /* at which its operations begin */
+    double begun_s, refused_s; /* operations per second, now */
+    double permits;            /* available, sum over all nodes */
+    int nodes;                 /* number of nodes on which operations of the account begin */
 };
 
 struct table {
@@ -36,7 +37,7 @@
     return &t->rows[i];
 }
 
-/* ---- reading ---- */
+/* ---- metrics and places ---- */
 
 static double rate_of(const struct ft_node *n, const char *metric, const char *name)
 {
@@ -103,7 +104,7 @@
         qsort(t->rows, (size_t)t->n, sizeof(*t->rows), compare_by_use);
 }
 
-/* Every node finds the same places: the first that answers is asked. */
+/* All nodes compute the same places, so the first node that answers is enough. */
 static json_t *read_places(const struct ft_fleet *f, const char *path)
 {
     for (int i = 0; i < f->n; i++) {
@@ -120,7 +121,7 @@
     return json_object();
 }
 
-/* ---- showing ---- */
+/* ---- output ---- */
 
 static void show_places(const json_t *by_node)
 {
--- a/ferryctl/fleet.c
+++ b/ferryctl/fleet.c
@@ -10,18 +10,18 @@
 #include "task/net.h"
 
 enum {
-    MAX_PENDING_REQUESTS = 64,    /* requests */
-    SAMPLE_TIMEOUT_US = 4000000,  /* nodes that have not answered by then are passed over */
-    SAMPLE_INTERVAL_US = 1000000, /* samples */
+    MAX_PENDING_REQUESTS = 64,
+    SAMPLE_TIMEOUT_US = 4000000,  /* nodes without a response by then are skipped */
+    SAMPLE_INTERVAL_US = 1000000, /* from one sample to the next */
 };
 
-/* ---- asking ---- */
+/* ---- requests ---- */
 
 struct sampling {
     struct ft_fleet *f;
     struct nt_loop *loop;
     int sample;
-    int next, pending; /* the node to ask next; requests that are out */
+    int next, pending; /* index of the next node to request; unanswered requests */
 };
 
 struct sample_request {
@@ -64,7 +64,8 @@
     nt_stop(ud);
 }
 
-/* What is out when time is up is answered to nobody: the loop does not run any more. */
+/* The sampling and its loop are not freed: requests may be pending after the timeout. The loop
+ * does not run again, so no callback is called for them. */
 static void take_sample(struct ft_fleet *f, int sample)
 {
     struct sampling *a = sr_alloc(sizeof(*a));
@@ -82,7 +83,7 @@
     nt_timer_cancel(&timeout);
 }
 
-/* ---- the nodes ---- */
+/* ---- list of nodes ---- */
 
 static void read_node(const json_t *x, struct ft_node *to)
 {
@@ -136,9 +137,9 @@
     *f = (struct ft_fleet){0};
 }
 
-/* ---- numbers ---- */
+/* ---- metric values ---- */
 
-/* The next line of that name from *at on: its labels "" if it has none, and its value. */
+/* Finds the next line `name` from *next on and stores its labels ("" if none) and its value. */
 static bool next_line(const char **next, const char *name, char *labels, size_t cap,
                       double *value)
 {
@@ -180,7 +181,7 @@
         return 0;
     double growth = sum(n->metrics[1], name, label) - sum(n->metrics[0], name, label);
     return growth > 0 ? growth * 1e6 / (double)us
-                      : 0; /* a node that started anew counts from 0 */
+                      : 0; /* the counters of a restarted node begin at 0 */
 }
 
 void ft_each(const struct ft_node *n, const char *name, const char *key,
--- a/ferryctl/http.c
+++ b/ferryctl/http.c
@@ -1,3 +1,4 @@
+/* Requests to the control and entry nodes, one at a time, each on an event loop of its own. */
 #include "ferryctl/ctl.h"
 
 #include <stdlib.h>
--- a/ferryctl/main.c
+++ b/ferryctl/main.c
@@ -1,4 +1,4 @@
-/* ferryctl: the operators' tool. */
+/* ferryctl: parses the command line, and plans and confirms intents. */
 #include <argp.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -16,36 +16,35 @@
 static const struct argp_option options[] = {
     {"control", 'c', "IP:PORT,...", 0,
      "operators' ports of the control nodes (or environment FERRY_CONTROL)", 0},
-    {"json", O_JSON, NULL, 0, "answer as JSON", 0},
+    {"json", O_JSON, NULL, 0, "print the result as JSON", 0},
     {"yes", 'y', NULL, 0, "confirm the plan at once (drain, undrain, move, rule, replace)", 0},
-    {"who", O_WHO, "NAME", 0, "your name, for others who plan (default: $USER)", 0},
-    {"id", O_ID, "ID", 0, "id of the intent; the same id is done at most once", 0},
+    {"who", O_WHO, "NAME", 0, "your name, recorded with the intent (default: $USER)", 0},
+    {"id", O_ID, "ID", 0, "id of the intent; an id is executed at most once", 0},
     {"output", 'o', "FILE", 0, "plan: write it to FILE for confirm", 0},
     {"group", O_GROUP, "NAME", 0, "timeline: only this group", 0},
     {"node", O_NODE, "NAME", 0, "timeline: only this node", 0},
     {"kind", O_KIND, "NAME", 0, "timeline: only this kind of event", 0},
-    {"svg", O_SVG, "FILE", 0,
-     "timeline: picture of the changes of primary; worth: of the failures", 0},
+    {"svg", O_SVG, "FILE", 0, "draw an SVG: timeline: changes of primary; worth: failures", 0},
     {0}};
 
 static const char doc[] =
     "Commands:\n"
-    "  status | members | metrics | timeline     reading changes nothing\n"
-    "  nodes                       entry nodes, the fullest first: what they hold, their "
+    "  status | members | metrics | timeline     read-only\n"
+    "  nodes                       entry nodes, highest link use first: what they hold, their "
     "links' "
     "bytes\n"
     "  accounts [NAME]             client accounts by use: limits, rates, where they are "
     "placed; "
     "of one, group by group\n"
-    "  drain GROUP INSTANCE        plan to take an instance out\n"
-    "  undrain GROUP INSTANCE      plan to give it work again\n"
-    "  rule GROUP MAX_AGE_MS       plan another accepted age\n"
+    "  drain GROUP INSTANCE        plan to drain an instance\n"
+    "  undrain GROUP INSTANCE      plan to put an instance back into use\n"
+    "  rule GROUP MAX_AGE_MS       plan a new maximum age of reads\n"
     "  move GROUP FILE             plan to move to the instances listed in FILE (JSON)\n"
     "  replace OLD_ID FILE         plan to replace a control node by the one in FILE (JSON)\n"
     "  plan drain|undrain|rule|move|replace ...  the same, never confirms\n"
     "  confirm FILE                confirm a plan written with --output\n"
-    "  intent ID                   what became of an intent\n"
-    "  explain REQUEST LOG...      what led to a failed request, from the logs of many "
+    "  intent ID                   state of an intent\n"
+    "  explain REQUEST LOG...      events that led to a failed request, from the logs of many "
     "processes\n"
     "  worth LOG...                failures of a run by cause and over time, from the logs of "
     "many processes\n"
@@ -68,14 +67,14 @@
 static void add_arg(struct ctl *c, char *word, struct argp_state *st)
 {
     if (c->n_args == CT_MAX_ARGS)
-        argp_error(st, "too many words");
+        argp_error(st, "too many arguments");
     c->args[c->n_args++] = word;
 }
 
 static void check_args(const struct ctl *c, struct argp_state *st)
 {
     if (c->n_args == 0)
-        argp_error(st, "a command is needed");
+        argp_error(st, "a command is required");
     bool offline = strcmp(c->args[0], "explain") == 0 || strcmp(c->args[0], "worth") == 0;
     if (c->n == 0 && !offline)
         argp_error(st, "--control or FERRY_CONTROL must name the control nodes");
@@ -133,7 +132,7 @@
     return EX_USAGE_;
 }
 
-/* ---- reading ---- */
+/* ---- read-only commands ---- */
 
 static int show_page(const struct ctl *c, const char *path, void (*show)(const json_t *))
 {
@@ -182,11 +181,11 @@
         return EX_GOOD;
     }
     json_decref(s);
-    fprintf(stderr, "ferryctl: no intent %s is known\n", id);
+    fprintf(stderr, "ferryctl: intent %s not found\n", id);
     return EX_REFUSED;
 }
 
-/* ---- planning and confirming ---- */
+/* ---- plans and confirmation ---- */
 
 static json_t *rule_plan_args(const char *group, const char *age)
 {
@@ -253,7 +252,7 @@
 {
     json_t *args = plan_args(c, first);
     if (!args)
-        return usage_error("wrong arguments, or the file is no JSON");
+        return usage_error("wrong arguments, or the file is not valid JSON");
     char *body = json_dumps(args, JSON_COMPACT);
     json_t *p = NULL;
     int status = ctl_request_any(c, true, "POST", "/v1/plan", body, &p, NULL, NULL);
@@ -266,7 +265,7 @@
     else
         show_plan(p);
     if (c->plan_file && json_dump_file(p, c->plan_file, JSON_INDENT(2)) != 0)
-        return usage_error("the plan can't be written");
+        return usage_error("cannot write the plan to the --output file");
     int rc = EX_GOOD;
     if (may_confirm && c->yes)
         rc = confirm(c, p);
@@ -281,7 +280,7 @@
 {
     json_t *p = json_load_file(path, 0, NULL);
     if (!p)
-        return usage_error("the plan file can't be read");
+        return usage_error("cannot read the plan file as JSON");
     int rc = confirm(c, p);
     json_decref(p);
     return rc;
--- a/ferryctl/nodes.c
+++ b/ferryctl/nodes.c
@@ -1,5 +1,5 @@
-/* Entry nodes by how full they are: what their VMs were told to carry, what they hold, and the
- * bytes on their links by whom these are exchanged with. */
+/* ferryctl nodes: entry nodes sorted by link use, with the load their VMs are configured to
+ * carry, the groups and sessions they hold, and the bytes on their links by kind of peer. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,13 +9,13 @@
 
 enum peer { INSTANCES, SERVING_NODES, RELAYING_NODES, CONTROL, CALLERS, PEERS };
 
-/* Numbers of a node; bytes a second, both ways together but for `out` and `in`. */
+/* Values of one node; peer[] is in bytes per second, both directions together. */
 struct row {
     const struct ft_node *node;
     bool answered;
-    double out_s, in_s, link_s; /* the link: each way, 0 not told */
+    double out_s, in_s, link_s; /* bytes/s; link_s: capacity of each direction, 0 if unknown */
     double peer[PEERS];
-    double relayed_s, served_s; /* statements a second to and for other nodes */
+    double relayed_s, served_s; /* statements/s relayed to and served for other nodes */
     double groups, conns, sessions, waiting;
 };
 
@@ -63,7 +63,8 @@
     return r->out_s > r->in_s ? r->out_s : r->in_s;
 }
 
-/* Nodes whose links are told by the part that is used, before the others by bytes. */
+/* Orders nodes by the used share of the link, largest first. Nodes of unknown link capacity
+ * have share 0; equal shares are ordered by bytes per second, then by name. */
 static int compare_by_link_use(const void *a, const void *b)
 {
     const struct row *x = a, *y = b;
@@ -94,13 +95,13 @@
     return rows;
 }
 
-/* ---- showing ---- */
+/* ---- output ---- */
 
 static void print_header(void)
 {
     printf(
-        "link: kB a second, and the busier way's part of what the VM is told to have; by peer: "
-        "both ways\n");
+        "link: kB/s, and the share of the VM's link capacity in the busier direction; by peer: "
+        "both directions\n");
     printf("%-16s %-16s %-8s %8s %-6s", "node", "domain", "lease", "carries", "");
     printf(" %6s %6s %8s %8s %8s %7s", "groups", "conns", "sessions", "passed/s", "served/s",
            "waiting");
--- a/ferryctl/show.c
+++ b/ferryctl/show.c
@@ -1,3 +1,4 @@
+/* Text output of ferryctl: status, members, plans, intents and errors. */
 #include <stdio.h>
 #include <string.h>
 
@@ -94,10 +95,10 @@
 {
     static const char *const rows[][2] = {
         {"not_leader", "ask the leader it names, or wait for an election"},
-        {"no_quorum", "this node has lost the others: ask another control node"},
+        {"no_quorum", "this node has no quorum: ask another control node"},
         {"stale_plan", "plan again and read the new plan"},
-        {"conflict", "read what stands there (ferryctl status) and plan again"},
-        {"unknown", "resend with the same --id: it is done at most once"},
+        {"conflict", "check the present state (ferryctl status) and plan again"},
+        {"unknown", "resend with the same --id: an id is executed at most once"},
         {"bad_input", "correct the command"},
         {"no_database", "see the groups with ferryctl status"},
     };
