--- a/ferryctl/accounts.c
+++ b/ferryctl/accounts.c
@@ -123,11 +123,11 @@
 
 /* ---- output ---- */
 
-static void show_places(const json_t *by_node)
+static void show_places(const json_t *groups_by_node)
 {
     const char *node;
     json_t *groups;
-    json_object_foreach((json_t *)by_node, node, groups)
+    json_object_foreach((json_t *)groups_by_node, node, groups)
     {
         printf(" %s (%lld)", node, (long long)json_integer_value(groups));
     }
--- a/ferryctl/fleet.c
+++ b/ferryctl/fleet.c
@@ -25,37 +25,37 @@
 };
 
 struct sample_request {
-    struct sampling *a;
+    struct sampling *sampling;
     struct ft_node *node;
 };
 
-static void send_requests(struct sampling *a);
+static void send_requests(struct sampling *s);
 
 static void on_response(void *ud, int status, const char *body, size_t len)
 {
     struct sample_request *q = ud;
-    struct sampling *a = q->a;
+    struct sampling *s = q->sampling;
     if (status == 200) {
-        q->node->metrics[a->sample] = strndup(body, len);
-        q->node->received_at_us[a->sample] = ck_now();
+        q->node->metrics[s->sample] = strndup(body, len);
+        q->node->received_at_us[s->sample] = ck_now();
     }
     free(q);
-    a->pending--;
-    send_requests(a);
-    if (a->pending == 0)
-        nt_stop(a->loop);
+    s->pending--;
+    send_requests(s);
+    if (s->pending == 0)
+        nt_stop(s->loop);
 }
 
-static void send_requests(struct sampling *a)
+static void send_requests(struct sampling *s)
 {
-    while (a->pending < MAX_PENDING_REQUESTS && a->next < a->f->n) {
-        struct ft_node *x = &a->f->nodes[a->next++];
+    while (s->pending < MAX_PENDING_REQUESTS && s->next < s->f->n) {
+        struct ft_node *x = &s->f->nodes[s->next++];
         if (x->node.port == 0)
             continue;
         struct sample_request *q = sr_alloc(sizeof(*q));
-        *q = (struct sample_request){a, x};
-        a->pending++;
-        nt_http_get(a->loop, x->node.ip, x->node.port, "GET", "/metrics", NULL, on_response, q);
+        *q = (struct sample_request){s, x};
+        s->pending++;
+        nt_http_get(s->loop, x->node.ip, x->node.port, "GET", "/metrics", NULL, on_response, q);
     }
 }
 
@@ -66,26 +66,26 @@
 
 /* The sampling and its loop are not freed: requests may be pending after the timeout. The loop
  * does not run again, so no callback is called for them. */
-static void take_sample(struct ft_fleet *f, int sample)
+static void fetch_sample(struct ft_fleet *f, int sample)
 {
-    struct sampling *a = sr_alloc(sizeof(*a));
+    struct sampling *s = sr_alloc(sizeof(*s));
     struct nt_timer timeout = {0};
     struct er_err err = {0};
-    *a = (struct sampling){f, nt_loop_create(2 * MAX_PENDING_REQUESTS, &err), sample, 0, 0};
-    if (!a->loop) {
+    *s = (struct sampling){f, nt_loop_create(2 * MAX_PENDING_REQUESTS, &err), sample, 0, 0};
+    if (!s->loop) {
         fprintf(stderr, "ferryctl: %s\n", err.text);
         return;
     }
-    nt_timer_set(a->loop, &timeout, SAMPLE_TIMEOUT_US, on_timeout, a->loop);
-    send_requests(a);
-    if (a->pending > 0)
-        nt_run(a->loop);
+    nt_timer_set(s->loop, &timeout, SAMPLE_TIMEOUT_US, on_timeout, s->loop);
+    send_requests(s);
+    if (s->pending > 0)
+        nt_run(s->loop);
     nt_timer_cancel(&timeout);
 }
 
 /* ---- list of nodes ---- */
 
-static void read_node(const json_t *x, struct ft_node *to)
+static void parse_node(const json_t *x, struct ft_node *to)
 {
     struct ho_node *n = &to->node;
     sr_copy(n->name, sizeof(n->name), sr_from(json_string_value(json_object_get(x, "name"))));
@@ -97,7 +97,7 @@
     to->lease = json_is_true(json_object_get(x, "lease"));
 }
 
-static int read_list(const struct ctl *c, struct ft_fleet *f)
+static int fetch_node_list(const struct ctl *c, struct ft_fleet *f)
 {
     json_t *list = NULL, *x;
     size_t i;
@@ -107,7 +107,7 @@
     f->nodes = sr_alloc(sizeof(*f->nodes) * (json_array_size(list) + 1));
     json_array_foreach(list, i, x)
     {
-        read_node(x, &f->nodes[f->n++]);
+        parse_node(x, &f->nodes[f->n++]);
     }
     json_decref(list);
     return EX_GOOD;
@@ -116,13 +116,13 @@
 int ft_read(const struct ctl *c, struct ft_fleet *f)
 {
     *f = (struct ft_fleet){0};
-    int rc = read_list(c, f);
+    int rc = fetch_node_list(c, f);
     if (rc != EX_GOOD)
         return rc;
     for (int i = 0; i < FT_SAMPLES; i++) {
         if (i > 0)
             usleep(SAMPLE_INTERVAL_US);
-        take_sample(f, i);
+        fetch_sample(f, i);
     }
     return EX_GOOD;
 }
@@ -160,7 +160,7 @@
     return false;
 }
 
-static double sum(const char *text, const char *name, const char *label)
+static double sum_lines(const char *text, const char *name, const char *label)
 {
     char labels[256];
     double v, total = 0;
@@ -171,7 +171,7 @@
 
 double ft_value(const struct ft_node *n, const char *name, const char *label)
 {
-    return sum(n->metrics[FT_SAMPLES - 1], name, label);
+    return sum_lines(n->metrics[FT_SAMPLES - 1], name, label);
 }
 
 double ft_rate(const struct ft_node *n, const char *name, const char *label)
@@ -179,7 +179,8 @@
     int64_t us = n->received_at_us[1] - n->received_at_us[0];
     if (!n->metrics[0] || !n->metrics[1] || us <= 0)
         return 0;
-    double growth = sum(n->metrics[1], name, label) - sum(n->metrics[0], name, label);
+    double growth =
+        sum_lines(n->metrics[1], name, label) - sum_lines(n->metrics[0], name, label);
     return growth > 0 ? growth * 1e6 / (double)us
                       : 0; /* the counters of a restarted node begin at 0 */
 }
--- a/ferryctl/http.c
+++ b/ferryctl/http.c
@@ -19,36 +19,36 @@
 
 static void on_response(void *ud, int status, const char *body, size_t len)
 {
-    struct pending_request *w = ud;
-    w->status = status;
-    w->text = strndup(body, len);
-    nt_stop(w->loop);
+    struct pending_request *r = ud;
+    r->status = status;
+    r->text = strndup(body, len);
+    nt_stop(r->loop);
 }
 
 static void on_timeout(void *ud)
 {
-    struct pending_request *w = ud;
-    nt_stop(w->loop);
+    struct pending_request *r = ud;
+    nt_stop(r->loop);
 }
 
 int ctl_request(const struct addr *a, const char *method, const char *path, const char *body,
                 json_t **answer, char **text)
 {
-    struct pending_request *w = sr_alloc(sizeof(*w));
+    struct pending_request *r = sr_alloc(sizeof(*r));
     struct er_err err = {0};
     struct nt_timer timeout = {0};
-    w->loop = nt_loop_create(64, &err);
-    if (!w->loop)
+    r->loop = nt_loop_create(64, &err);
+    if (!r->loop)
         return 0;
-    nt_timer_set(w->loop, &timeout, REQUEST_TIMEOUT_US, on_timeout, w);
-    nt_http_get(w->loop, a->ip, a->port, method, path, body, on_response, w);
-    nt_run(w->loop);
+    nt_timer_set(r->loop, &timeout, REQUEST_TIMEOUT_US, on_timeout, r);
+    nt_http_get(r->loop, a->ip, a->port, method, path, body, on_response, r);
+    nt_run(r->loop);
     nt_timer_cancel(&timeout);
-    int status = w->status;
+    int status = r->status;
     if (answer)
-        *answer = w->text ? json_loads(w->text, 0, NULL) : NULL;
+        *answer = r->text ? json_loads(r->text, 0, NULL) : NULL;
     if (text)
-        *text = w->text ? strdup(w->text) : strdup("");
+        *text = r->text ? strdup(r->text) : strdup("");
     return status;
 }
 
--- a/ferryctl/main.c
+++ b/ferryctl/main.c
@@ -64,11 +64,11 @@
     }
 }
 
-static void add_arg(struct ctl *c, char *word, struct argp_state *st)
+static void add_arg(struct ctl *c, char *arg, struct argp_state *st)
 {
     if (c->n_args == CT_MAX_ARGS)
         argp_error(st, "too many arguments");
-    c->args[c->n_args++] = word;
+    c->args[c->n_args++] = arg;
 }
 
 static void check_args(const struct ctl *c, struct argp_state *st)
@@ -197,10 +197,10 @@
     return NULL;
 }
 
-static json_t *plan_args(const struct ctl *c, int first)
+static json_t *plan_args(const struct ctl *c, int first_arg)
 {
-    int n = c->n_args - first;
-    char *const *w = &c->args[first];
+    int n = c->n_args - first_arg;
+    char *const *w = &c->args[first_arg];
     bool drain = strcmp(w[0], "drain") == 0 || strcmp(w[0], "undrain") == 0;
     if (n == 3 && drain)
         return json_pack("{s:s,s:s,s:s}", "kind", w[0], "group", w[1], "instance", w[2]);
@@ -248,9 +248,9 @@
     return EX_GOOD;
 }
 
-static int plan(const struct ctl *c, int first, bool may_confirm)
+static int plan(const struct ctl *c, int first_arg, bool may_confirm)
 {
-    json_t *args = plan_args(c, first);
+    json_t *args = plan_args(c, first_arg);
     if (!args)
         return usage_error("wrong arguments, or the file is not valid JSON");
     char *body = json_dumps(args, JSON_COMPACT);
--- a/ferryctl/show.c
+++ b/ferryctl/show.c
@@ -91,7 +91,7 @@
     }
 }
 
-static const char *advice(const char *reason)
+static const char *next_step(const char *reason)
 {
     static const char *const rows[][2] = {
         {"not_leader", "ask the leader it names, or wait for an election"},
@@ -118,6 +118,6 @@
     const char *leader = text(a, "leader");
     fprintf(stderr, "ferryctl: refused (%s): %s%s%s\n  next: %s\n", text(a, "reason"),
             text(a, "detail"), leader[0] ? "; the leader is " : "", leader,
-            advice(text(a, "reason")));
+            next_step(text(a, "reason")));
     return status == 504 ? EX_OUTCOME_UNKNOWN : EX_REFUSED;
 }
