--- a/ferryctl/http.c
+++ b/ferryctl/http.c
@@ -1,3 +1,4 @@
+/* Requests to the control and entry nodes, one at a time, each on an event loop of its own. */
 #include "ferryctl/ctl.h"
 
 #include <stdlib.h>
@@ -8,46 +9,46 @@
 #include "misc/str.h"
 #include "task/net.h"
 
-enum { GIVE_UP_US = 8000000, ELECTION_TRIES = 15, ELECTION_WAIT_US = 200000 };
+enum { REQUEST_TIMEOUT_US = 8000000, ELECTION_RETRIES = 15, ELECTION_WAIT_US = 200000 };
 
-struct wait {
+struct pending_request {
     struct nt_loop *loop;
     int status;
     char *text;
 };
 
-static void done(void *ud, int status, const char *body, size_t len)
+static void on_response(void *ud, int status, const char *body, size_t len)
 {
-    struct wait *w = ud;
-    w->status = status;
-    w->text = strndup(body, len);
-    nt_stop(w->loop);
+    struct pending_request *r = ud;
+    r->status = status;
+    r->text = strndup(body, len);
+    nt_stop(r->loop);
 }
 
-static void give_up(void *ud)
+static void on_timeout(void *ud)
 {
-    struct wait *w = ud;
-    nt_stop(w->loop);
+    struct pending_request *r = ud;
+    nt_stop(r->loop);
 }
 
 int ctl_request(const struct addr *a, const char *method, const char *path, const char *body,
                 json_t **answer, char **text)
 {
-    struct wait *w = sr_alloc(sizeof(*w));
+    struct pending_request *r = sr_alloc(sizeof(*r));
     struct er_err err = {0};
-    struct nt_timer late = {0};
-    w->loop = nt_loop_create(64, &err);
-    if (!w->loop)
+    struct nt_timer timeout = {0};
+    r->loop = nt_loop_create(64, &err);
+    if (!r->loop)
         return 0;
-    nt_timer_set(w->loop, &late, GIVE_UP_US, give_up, w);
-    nt_http_get(w->loop, a->ip, a->port, method, path, body, done, w);
-    nt_run(w->loop);
-    nt_timer_cancel(&late);
-    int status = w->status;
+    nt_timer_set(r->loop, &timeout, REQUEST_TIMEOUT_US, on_timeout, r);
+    nt_http_get(r->loop, a->ip, a->port, method, path, body, on_response, r);
+    nt_run(r->loop);
+    nt_timer_cancel(&timeout);
+    int status = r->status;
     if (answer)
-        *answer = w->text ? json_loads(w->text, 0, NULL) : NULL;
+        *answer = r->text ? json_loads(r->text, 0, NULL) : NULL;
     if (text)
-        *text = w->text ? strdup(w->text) : strdup("");
+        *text = r->text ? strdup(r->text) : strdup("");
     return status;
 }
 
@@ -61,7 +62,7 @@
            a->port > 0 && a->port < 65536;
 }
 
-static bool leads(const struct addr *a)
+static bool is_confirmed_leader(const struct addr *a)
 {
     json_t *s = NULL;
     int status = ctl_request(a, "GET", "/v1/status", NULL, &s, NULL);
@@ -71,13 +72,13 @@
     return yes;
 }
 
-static int ask_once(const struct ctl *c, bool leader, const char *method, const char *path,
-                    const char *body, json_t **answer, char **text, struct addr *from)
+static int request_once(const struct ctl *c, bool leader, const char *method, const char *path,
+                        const char *body, json_t **answer, char **text, struct addr *from)
 {
     int status = 0;
     for (int round = 0; round < 2 && status == 0; round++) {
         for (int i = 0; i < c->n && status == 0; i++) {
-            if (round == 0 && leader && !leads(&c->control[i]))
+            if (round == 0 && leader && !is_confirmed_leader(&c->control[i]))
                 continue;
             if (from)
                 *from = c->control[i];
@@ -87,20 +88,20 @@
     return status;
 }
 
-int ctl_ask(const struct ctl *c, bool leader, const char *method, const char *path,
-            const char *body, json_t **answer, char **text, struct addr *from)
+int ctl_request_any(const struct ctl *c, bool leader, const char *method, const char *path,
+                    const char *body, json_t **answer, char **text, struct addr *from)
 {
-    int status = ask_once(c, leader, method, path, body, answer, text, from);
-    for (int i = 0; i < ELECTION_TRIES; i++) {
-        bool electing = status == er_http(ER_NOT_LEADER) || status == er_http(ER_NO_QUORUM);
-        if (!leader || !electing)
+    int status = request_once(c, leader, method, path, body, answer, text, from);
+    for (int i = 0; i < ELECTION_RETRIES; i++) {
+        bool no_leader = status == er_http(ER_NOT_LEADER) || status == er_http(ER_NO_QUORUM);
+        if (!leader || !no_leader)
             break;
         if (answer)
             json_decref(*answer);
         if (text)
             free(*text);
         usleep(ELECTION_WAIT_US);
-        status = ask_once(c, leader, method, path, body, answer, text, from);
+        status = request_once(c, leader, method, path, body, answer, text, from);
     }
     return status;
 }
--- a/ferryctl/show.c
+++ b/ferryctl/show.c
@@ -1,3 +1,4 @@
+/* Text output of ferryctl: status, members, plans, intents and errors. */
 #include <stdio.h>
 #include <string.h>
 
@@ -90,14 +91,14 @@
     }
 }
 
-static const char *advice(const char *reason)
+static const char *next_step(const char *reason)
 {
     static const char *const rows[][2] = {
         {"not_leader", "ask the leader it names, or wait for an election"},
-        {"no_quorum", "this node has lost the others: ask another control node"},
+        {"no_quorum", "this node has no quorum: ask another control node"},
         {"stale_plan", "plan again and read the new plan"},
-        {"conflict", "read what stands there (ferryctl status) and plan again"},
-        {"unknown", "resend with the same --id: it is done at most once"},
+        {"conflict", "check the present state (ferryctl status) and plan again"},
+        {"unknown", "resend with the same --id: an id is executed at most once"},
         {"bad_input", "correct the command"},
         {"no_database", "see the groups with ferryctl status"},
     };
@@ -117,6 +118,6 @@
     const char *leader = text(a, "leader");
     fprintf(stderr, "ferryctl: refused (%s): %s%s%s\n  next: %s\n", text(a, "reason"),
             text(a, "detail"), leader[0] ? "; the leader is " : "", leader,
-            advice(text(a, "reason")));
-    return status == 504 ? EX_UNSURE : EX_REFUSED;
+            next_step(text(a, "reason")));
+    return status == 504 ? EX_OUTCOME_UNKNOWN : EX_REFUSED;
 }
