--- a/ferryctl/explain.c
+++ b/ferryctl/explain.c
@@ -15,10 +15,10 @@
     AFTER_MS = 1500,   /* control's own line of a change may come after the failure */
     MAX_LINES = 20000, /* read in all; more are passed over */
     MAX_SHOWN = 60,
-    LINE = 4096, /* bytes; above what misc/log.c writes */
+    MAX_LINE_BYTES = 4096, /* bytes; above what misc/log.c writes */
 };
 
-struct found {
+struct log_line {
     json_t *line;
     long long ms;
 };
@@ -26,12 +26,12 @@
 struct search {
     const char *id;
     int n;
-    struct found f[MAX_LINES];
+    struct log_line lines[MAX_LINES];
     const json_t *failed; /* the request's last line */
-    long long at;         /* its time, ms */
+    long long failed_ms;  /* its time, ms */
 };
 
-static const char *text(const json_t *o, const char *key)
+static const char *string_field(const json_t *o, const char *key)
 {
     const char *s = json_string_value(json_object_get(o, key));
     return s ? s : "";
@@ -46,20 +46,21 @@
 
 static bool read_file(struct search *s, const char *path)
 {
-    char line[LINE];
+    char line[MAX_LINE_BYTES];
     FILE *f = fopen(path, "r");
     if (!f)
         return false;
     while (fgets(line, sizeof(line), f)) {
         json_t *o = parse_line(line);
-        if (!text(o, "event")[0] || s->n == MAX_LINES) {
+        if (!string_field(o, "event")[0] || s->n == MAX_LINES) {
             json_decref(o);
             continue;
         }
-        s->f[s->n++] = (struct found){o, json_integer_value(json_object_get(o, "ts_ms"))};
-        if (strcmp(text(o, "request"), s->id) == 0) {
+        s->lines[s->n++] =
+            (struct log_line){o, json_integer_value(json_object_get(o, "ts_ms"))};
+        if (strcmp(string_field(o, "request"), s->id) == 0) {
             s->failed = o;
-            s->at = s->f[s->n - 1].ms;
+            s->failed_ms = s->lines[s->n - 1].ms;
         }
     }
     fclose(f);
@@ -68,21 +69,23 @@
 
 static int by_time(const void *a, const void *b)
 {
-    long long x = ((const struct found *)a)->ms, y = ((const struct found *)b)->ms;
+    long long x = ((const struct log_line *)a)->ms, y = ((const struct log_line *)b)->ms;
     return x < y ? -1 : x > y;
 }
 
 /* Whether a line may be a cause: of the same group, of the node's own lease, or of the
  * configuration. */
-static bool bears(const struct search *s, const struct found *f)
+static bool is_relevant(const struct search *s, const struct log_line *f)
 {
-    if (f->ms < s->at - BEFORE_MS || f->ms > s->at + AFTER_MS)
+    if (f->ms < s->failed_ms - BEFORE_MS || f->ms > s->failed_ms + AFTER_MS)
         return false;
-    if (strcmp(text(f->line, "request"), s->id) == 0)
+    if (strcmp(string_field(f->line, "request"), s->id) == 0)
         return true;
-    const char *event = text(f->line, "event");
-    bool same_node = strcmp(text(f->line, "node"), text(s->failed, "node")) == 0;
-    bool same_group = strcmp(text(f->line, "group"), text(s->failed, "group")) == 0;
+    const char *event = string_field(f->line, "event");
+    bool same_node =
+        strcmp(string_field(f->line, "node"), string_field(s->failed, "node")) == 0;
+    bool same_group =
+        strcmp(string_field(f->line, "group"), string_field(s->failed, "group")) == 0;
     if (strcmp(event, "request_failed") == 0)
         return false; /* other requests' failures are effects as well */
     if (strncmp(event, "lease", 5) == 0 || strcmp(event, "document_in_force") == 0)
@@ -93,35 +96,35 @@
 }
 
 /* Whether every line has the field: shown in front of it, or not at all. */
-static bool in_head(const char *key)
+static bool is_common_field(const char *key)
 {
-    static const char *const head[] = {"ts_ms", "node", "level", "module", "event"};
-    for (size_t i = 0; i < sizeof(head) / sizeof(head[0]); i++) {
-        if (strcmp(key, head[i]) == 0)
+    static const char *const common_fields[] = {"ts_ms", "node", "level", "module", "event"};
+    for (size_t i = 0; i < sizeof(common_fields) / sizeof(common_fields[0]); i++) {
+        if (strcmp(key, common_fields[i]) == 0)
             return true;
     }
     return false;
 }
 
-static void show(const struct search *s, const struct found *f)
+static void show_line(const struct search *s, const struct log_line *f)
 {
     const char *key;
     json_t *v;
-    printf("%+7lld ms  %-16s %-20s", f->ms - s->at, text(f->line, "node"),
-           text(f->line, "event"));
+    printf("%+7lld ms  %-16s %-20s", f->ms - s->failed_ms, string_field(f->line, "node"),
+           string_field(f->line, "event"));
     json_object_foreach(f->line, key, v)
     {
-        if (!in_head(key) && json_is_string(v))
+        if (!is_common_field(key) && json_is_string(v))
             printf(" %s=%s", key, json_string_value(v));
     }
     putchar('\n');
 }
 
 /* The kinds of failure, in words, with what to look at next. */
-static void conclude(const struct search *s)
+static void show_cause(const struct search *s)
 {
     static const struct {
-        const char *kind, *says;
+        const char *kind, *explanation;
     } rows[] = {
         {"lost",
          "in doubt: it was sent and its answer was lost; whether it ran only the instance's "
@@ -139,20 +142,20 @@
         {"no_database",
          "the configuration in force on the node (document=) has no such database"},
     };
-    const char *kind = text(s->failed, "kind");
+    const char *kind = string_field(s->failed, "kind");
     for (size_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++) {
         if (strcmp(rows[i].kind, kind) == 0)
-            printf("cause: %s: %s\n", kind, rows[i].says);
+            printf("cause: %s: %s\n", kind, rows[i].explanation);
     }
 }
 
-static void show_path(struct search *s)
+static void show_relevant_lines(struct search *s)
 {
     int shown = 0;
     for (int i = 0; i < s->n && shown < MAX_SHOWN; i++) {
-        if (!bears(s, &s->f[i]))
+        if (!is_relevant(s, &s->lines[i]))
             continue;
-        show(s, &s->f[i]);
+        show_line(s, &s->lines[i]);
         shown++;
     }
     if (shown == MAX_SHOWN)
@@ -160,10 +163,10 @@
 }
 
 /* Without a control node's log, changes of primary show only as their effects. */
-static void show_missing(const struct search *s)
+static void show_missing_logs(const struct search *s)
 {
     for (int i = 0; i < s->n; i++) {
-        if (strcmp(text(s->f[i].line, "module"), "control") == 0)
+        if (strcmp(string_field(s->lines[i].line, "module"), "control") == 0)
             return;
     }
     printf("missing: no control node's log is among the files\n");
@@ -184,9 +187,9 @@
             s.id);
         return EX_REFUSED;
     }
-    qsort(s.f, (size_t)s.n, sizeof(s.f[0]), by_time);
-    show_path(&s);
-    conclude(&s);
-    show_missing(&s);
+    qsort(s.lines, (size_t)s.n, sizeof(s.lines[0]), by_time);
+    show_relevant_lines(&s);
+    show_cause(&s);
+    show_missing_logs(&s);
     return EX_GOOD;
 }
--- a/ferryctl/timeline.c
+++ b/ferryctl/timeline.c
@@ -7,7 +7,7 @@
 #include "misc/clock.h"
 #include "misc/str.h"
 
-enum { MAX_EVENTS = 65536, MAX_FAILOVERS = 256, MAX_SUSPICION_MS = 2000 };
+enum { MAX_EVENTS = 65536, MAX_FAILOVERS = 256, MAX_SUSPICION_AGE_MS = 2000 };
 
 struct event {
     uint64_t stamp;
@@ -15,11 +15,11 @@
     uint64_t term;
 };
 
-struct line {
+struct timeline {
     int n, missing;
-    struct event ev[MAX_EVENTS];
+    struct event events[MAX_EVENTS];
     char missing_names[512];
-    json_t *keep; /* the texts belong to this */
+    json_t *documents; /* the texts belong to this */
 };
 
 struct failover {
@@ -29,37 +29,37 @@
     const char *why;
 };
 
-static const char *text(const json_t *o, const char *key)
+static const char *string_field(const json_t *o, const char *key)
 {
     const char *s = json_string_value(json_object_get(o, key));
     return s ? s : "";
 }
 
-static void take(struct line *l, json_t *ring)
+static void add_events(struct timeline *l, json_t *ring)
 {
-    const char *node = text(ring, "node");
+    const char *node = string_field(ring, "node");
     size_t i;
     json_t *e;
     json_array_foreach(json_object_get(ring, "events"), i, e)
     {
         if (l->n == MAX_EVENTS)
             return;
-        l->ev[l->n++] =
+        l->events[l->n++] =
             (struct event){(uint64_t)json_integer_value(json_object_get(e, "stamp")),
                            node,
-                           text(e, "kind"),
-                           text(e, "group"),
-                           text(e, "text"),
+                           string_field(e, "kind"),
+                           string_field(e, "group"),
+                           string_field(e, "text"),
                            (uint64_t)json_integer_value(json_object_get(e, "term"))};
     }
-    json_array_append_new(l->keep, ring);
+    json_array_append_new(l->documents, ring);
 }
 
-static void fetch(struct line *l, const struct addr *a, const char *name)
+static void fetch_events(struct timeline *l, const struct addr *a, const char *name)
 {
     json_t *ring = NULL;
     if (ctl_request(a, "GET", "/v1/timeline", NULL, &ring, NULL) == 200 && ring) {
-        take(l, ring);
+        add_events(l, ring);
         return;
     }
     size_t at = strlen(l->missing_names);
@@ -69,7 +69,7 @@
 }
 
 /* Entry nodes are known to the leader, or to any control node that still remembers them. */
-static void fetch_entries(const struct ctl *c, struct line *l)
+static void fetch_entry_nodes(const struct ctl *c, struct timeline *l)
 {
     json_t *nodes = NULL, *x;
     size_t i;
@@ -78,10 +78,10 @@
     json_array_foreach(nodes, i, x)
     {
         struct addr a = {.port = (int)json_integer_value(json_object_get(x, "port"))};
-        sr_copy(a.ip, sizeof(a.ip), sr_from(text(x, "ip")));
-        fetch(l, &a, text(x, "name"));
+        sr_copy(a.ip, sizeof(a.ip), sr_from(string_field(x, "ip")));
+        fetch_events(l, &a, string_field(x, "name"));
     }
-    json_array_append_new(l->keep, nodes);
+    json_array_append_new(l->documents, nodes);
 }
 
 static int by_stamp(const void *a, const void *b)
@@ -90,7 +90,7 @@
     return x->stamp < y->stamp ? -1 : x->stamp > y->stamp;
 }
 
-static bool wanted(const struct ctl *c, const struct event *e)
+static bool matches_filters(const struct ctl *c, const struct event *e)
 {
     return (!c->group || strcmp(c->group, e->group) == 0) &&
            (!c->node || strcmp(c->node, e->node) == 0) &&
@@ -99,8 +99,8 @@
 
 /* ---- failovers ---- */
 
-static struct failover *failover_of(struct failover *f, int *n, const char *group,
-                                    uint64_t term)
+static struct failover *find_or_add_failover(struct failover *f, int *n, const char *group,
+                                             uint64_t term)
 {
     for (int i = 0; i < *n; i++) {
         if (f[i].term == term && strcmp(f[i].group, group) == 0)
@@ -118,7 +118,7 @@
         *at = ms;
 }
 
-static void note(struct failover *f, const struct event *e)
+static void record_event(struct failover *f, const struct event *e)
 {
     int64_t ms = ck_hlc_ms(e->stamp);
     if (strcmp(e->kind, "down") == 0) {
@@ -139,43 +139,43 @@
 }
 
 /* The first suspicion before the decision that no write has refuted since. */
-static void find_suspect(const struct line *l, struct failover *f)
+static void find_suspicion(const struct timeline *l, struct failover *f)
 {
-    int64_t until = f->down ? f->down : f->replace;
+    int64_t decided_ms = f->down ? f->down : f->replace;
     for (int i = 0; i < l->n; i++) {
-        const struct event *e = &l->ev[i];
+        const struct event *e = &l->events[i];
         int64_t ms = ck_hlc_ms(e->stamp);
-        if (strcmp(e->group, f->group) != 0 || e->term + 1 != f->term || ms > until)
+        if (strcmp(e->group, f->group) != 0 || e->term + 1 != f->term || ms > decided_ms)
             continue;
-        if (strcmp(e->kind, "first_write") == 0 || ms + MAX_SUSPICION_MS < until)
+        if (strcmp(e->kind, "first_write") == 0 || ms + MAX_SUSPICION_AGE_MS < decided_ms)
             f->suspect = 0;
         else if (strcmp(e->kind, "suspect") == 0)
             set_once(&f->suspect, ms);
     }
 }
 
-static int find_failovers(const struct line *l, struct failover *f)
+static int find_failovers(const struct timeline *l, struct failover *f)
 {
     int n = 0;
     for (int i = 0; i < l->n; i++) {
-        const struct event *e = &l->ev[i];
+        const struct event *e = &l->events[i];
         static const char *const kinds[] = {"down",     "replace", "fenced",
                                             "promoted", "primary", "first_write"};
         for (size_t k = 0; k < sizeof(kinds) / sizeof(kinds[0]); k++) {
             if (strcmp(e->kind, kinds[k]) != 0 || !e->term)
                 continue;
-            struct failover *x = failover_of(f, &n, e->group, e->term);
+            struct failover *x = find_or_add_failover(f, &n, e->group, e->term);
             if (x)
-                note(x, e);
+                record_event(x, e);
         }
     }
     for (int i = 0; i < n; i++)
-        find_suspect(l, &f[i]);
+        find_suspicion(l, &f[i]);
     return n;
 }
 
 /* " -> what N ms"; "-" for what no process that answers has seen. */
-static void show_part(const char *what, int64_t from, int64_t to)
+static void show_phase(const char *what, int64_t from, int64_t to)
 {
     if (from && to)
         printf(" -> %s %lld ms", what, (long long)(to - from));
@@ -185,28 +185,28 @@
 
 static void show_failover(const struct failover *f)
 {
-    int64_t began = f->suspect ? f->suspect : f->down ? f->down : f->replace;
+    int64_t start_ms = f->suspect ? f->suspect : f->down ? f->down : f->replace;
     printf("%s term %llu: %s\n", f->group, (unsigned long long)f->term,
            f->why[0] ? f->why : "planned, or its beginning is not kept any more");
     printf("  first suspicion");
-    show_part("decided", f->suspect, f->down);
-    show_part("in the log", f->down, f->replace);
-    show_part("fenced", f->replace, f->fenced);
-    show_part("promoted", f->fenced, f->promoted);
-    show_part("announced", f->promoted, f->primary);
-    show_part("first write", f->primary, f->first_write);
-    if (began && f->first_write)
-        printf("; in all %lld ms", (long long)(f->first_write - began));
+    show_phase("decided", f->suspect, f->down);
+    show_phase("in the log", f->down, f->replace);
+    show_phase("fenced", f->replace, f->fenced);
+    show_phase("promoted", f->fenced, f->promoted);
+    show_phase("announced", f->promoted, f->primary);
+    show_phase("first write", f->primary, f->first_write);
+    if (start_ms && f->first_write)
+        printf("; in all %lld ms", (long long)(f->first_write - start_ms));
     printf("\n");
 }
 
 /* ---- output ---- */
 
-static void show_text(const struct ctl *c, const struct line *l)
+static void show_text(const struct ctl *c, const struct timeline *l)
 {
     for (int i = 0; i < l->n; i++) {
-        const struct event *e = &l->ev[i];
-        if (!wanted(c, e))
+        const struct event *e = &l->events[i];
+        if (!matches_filters(c, e))
             continue;
         int64_t ms = ck_hlc_ms(e->stamp);
         printf("%lld.%03lld.%04x %-10s %-12s %-14s %s%s%.0llu %s\n", (long long)(ms / 1000),
@@ -224,13 +224,13 @@
                      (json_int_t)f->primary, "first_write", (json_int_t)f->first_write);
 }
 
-static void show_json(const struct ctl *c, const struct line *l, const struct failover *f,
+static void show_json(const struct ctl *c, const struct timeline *l, const struct failover *f,
                       int n)
 {
     json_t *events = json_array(), *failovers = json_array();
     for (int i = 0; i < l->n; i++) {
-        const struct event *e = &l->ev[i];
-        if (wanted(c, e))
+        const struct event *e = &l->events[i];
+        if (matches_filters(c, e))
             json_array_append_new(events, json_pack("{s:I,s:s,s:s,s:s,s:I,s:s}", "stamp",
                                                     (json_int_t)e->stamp, "node", e->node,
                                                     "kind", e->kind, "group", e->group, "term",
@@ -245,12 +245,12 @@
     json_decref(o);
 }
 
-static void svg_bar(FILE *f, int row, int64_t t0, double scale, int64_t from, int64_t to,
+static void svg_bar(FILE *f, int row, int64_t start_ms, double scale, int64_t from, int64_t to,
                     const char *color, const char *label)
 {
     if (!from || !to || to < from)
         return;
-    double x = 160 + (double)(from - t0) * scale, w = (double)(to - from) * scale;
+    double x = 160 + (double)(from - start_ms) * scale, w = (double)(to - from) * scale;
     fprintf(f,
             "<rect x='%.1f' y='%d' width='%.1f' height='16' fill='%s'><title>%s %lld "
             "ms</title></rect>\n",
@@ -273,14 +273,14 @@
             60 + n * 26);
     for (int i = 0; i < n; i++) {
         const struct failover *x = &f[i];
-        int64_t t0 = x->suspect ? x->suspect : x->down ? x->down : x->replace;
+        int64_t start_ms = x->suspect ? x->suspect : x->down ? x->down : x->replace;
         fprintf(out, "<text x='8' y='%d'>%s term %llu</text>\n", 42 + i * 26, x->group,
                 (unsigned long long)x->term);
-        svg_bar(out, i, t0, 1, x->suspect, x->down, "#9e9e9e", "detection");
-        svg_bar(out, i, t0, 1, x->down, x->replace, "#c62828", "log");
-        svg_bar(out, i, t0, 1, x->replace, x->fenced, "#ef6c00", "fencing");
-        svg_bar(out, i, t0, 1, x->fenced, x->promoted, "#1565c0", "promotion");
-        svg_bar(out, i, t0, 1, x->promoted, x->first_write, "#2e7d32", "announcement");
+        svg_bar(out, i, start_ms, 1, x->suspect, x->down, "#9e9e9e", "detection");
+        svg_bar(out, i, start_ms, 1, x->down, x->replace, "#c62828", "log");
+        svg_bar(out, i, start_ms, 1, x->replace, x->fenced, "#ef6c00", "fencing");
+        svg_bar(out, i, start_ms, 1, x->fenced, x->promoted, "#1565c0", "promotion");
+        svg_bar(out, i, start_ms, 1, x->promoted, x->first_write, "#2e7d32", "announcement");
     }
     fprintf(out, "</svg>\n");
     fclose(out);
@@ -288,13 +288,13 @@
 
 int ctl_timeline(const struct ctl *c)
 {
-    struct line *l = sr_alloc(sizeof(*l));
+    struct timeline *l = sr_alloc(sizeof(*l));
     static struct failover f[MAX_FAILOVERS];
-    l->keep = json_array();
+    l->documents = json_array();
     for (int i = 0; i < c->n; i++)
-        fetch(l, &c->control[i], "control");
-    fetch_entries(c, l);
-    qsort(l->ev, (size_t)l->n, sizeof(l->ev[0]), by_stamp);
+        fetch_events(l, &c->control[i], "control");
+    fetch_entry_nodes(c, l);
+    qsort(l->events, (size_t)l->n, sizeof(l->events[0]), by_stamp);
     int n = find_failovers(l, f);
     if (c->svg)
         write_svg(c->svg, f, n);
@@ -312,7 +312,7 @@
             printf("\nmissing, their events are not above:%s\n", l->missing_names);
     }
     bool any = l->n > 0;
-    json_decref(l->keep);
+    json_decref(l->documents);
     free(l);
     if (!any)
         fprintf(stderr, "ferryctl: no process answers; check --control\n");
--- a/ferryctl/waits.h
+++ b/ferryctl/waits.h
@@ -6,7 +6,7 @@
 
 #include <jansson.h>
 
-enum { WT_STAGES = 5, WT_NODES = 4096 };
+enum { WT_STAGE_COUNT = 5, WT_MAX_NODES = 4096 };
 
 struct wt_stage {
     long long n; /* statements */
@@ -15,16 +15,16 @@
 
 struct wt_node {
     char name[48];
-    struct wt_stage stage[WT_STAGES];
+    struct wt_stage stage[WT_STAGE_COUNT];
 };
 
 struct wt_waits {
     int n;
-    struct wt_node nodes[WT_NODES];
+    struct wt_node nodes[WT_MAX_NODES];
 };
 
 /* Take a line whose event is "stages". */
-void wt_note(struct wt_waits *w, const json_t *line);
+void wt_add_line(struct wt_waits *w, const json_t *line);
 /* By stage, and by node: the one whose statements waited longest on the average first. */
 void wt_show(struct wt_waits *w);
 
--- a/ferryctl/worth.c
+++ b/ferryctl/worth.c
@@ -13,41 +13,41 @@
 #include "misc/str.h"
 
 enum {
-    LINE = 4096, /* bytes; above what misc/log.c writes */
+    MAX_LINE_BYTES = 4096, /* bytes; above what misc/log.c writes */
     WINDOW_MS = 500,
     MAX_WINDOWS = 7200, /* an hour; what is later is passed over */
     MAX_NODES = 4096,
 };
 
 /* What happens once a node when it starts, or when it comes to know more. */
-enum phase { RUNS, LEASED, CONFIGURED, PHASES };
-static const char *const phase_names[PHASES] = {"runs", "has a lease", "has the document"};
+enum phase { PHASE_RUNNING, PHASE_LEASED, PHASE_CONFIGURED, PHASE_COUNT };
+static const char *const phase_names[PHASE_COUNT] = {"runs", "has a lease", "has the document"};
 
 struct window {
-    int by_kind[CA_KINDS];
-    int by_phase[PHASES]; /* nodes that came to it */
-    int leaders;          /* elected */
-    int holdings;         /* groups that a node began or ceased to hold */
-    int changes;          /* of primary, begun */
+    int by_kind[CA_K_COUNT];
+    int by_phase[PHASE_COUNT]; /* nodes that came to it */
+    int leader_elections;      /* elected */
+    int holding_changes;       /* groups that a node began or ceased to hold */
+    int primary_changes;       /* of primary, begun */
 };
 
 struct totals {
     long long first_ms; /* of all lines; 0: none */
     int n_windows;      /* up to the last that holds anything */
-    int by_cause[CA_CAUSES];
+    int by_cause[CA_COUNT];
     int n_nodes;
     char nodes[MAX_NODES][48];
-    struct window w[MAX_WINDOWS];
+    struct window windows[MAX_WINDOWS];
     struct wt_waits waits;
 };
 
-static const char *text(const json_t *o, const char *key)
+static const char *string_field(const json_t *o, const char *key)
 {
     const char *s = json_string_value(json_object_get(o, key));
     return s ? s : "";
 }
 
-static void note_node(struct totals *t, const char *name)
+static void add_node(struct totals *t, const char *name)
 {
     for (int i = 0; i < t->n_nodes; i++) {
         if (strcmp(t->nodes[i], name) == 0)
@@ -64,46 +64,46 @@
         return NULL;
     if (i >= t->n_windows)
         t->n_windows = (int)i + 1;
-    return &t->w[i];
+    return &t->windows[i];
 }
 
-static void note_failure(struct totals *t, struct window *w, enum ca_cause c)
+static void count_failure(struct totals *t, struct window *w, enum ca_cause c)
 {
     t->by_cause[c]++;
     w->by_kind[ca_kind(c)]++;
 }
 
-static void note_event(struct totals *t, struct window *w, const json_t *o)
+static void count_event(struct totals *t, struct window *w, const json_t *o)
 {
-    const char *event = text(o, "event");
-    enum ca_cause cause = ca_of(o);
-    if (cause != CA_CAUSES)
-        note_failure(t, w, cause);
+    const char *event = string_field(o, "event");
+    enum ca_cause cause = ca_classify(o);
+    if (cause != CA_COUNT)
+        count_failure(t, w, cause);
     else if (strcmp(event, "stages") == 0)
-        wt_note(&t->waits, o);
+        wt_add_line(&t->waits, o);
     else if (strcmp(event, "lease_held") == 0)
-        w->by_phase[LEASED]++;
+        w->by_phase[PHASE_LEASED]++;
     else if (strcmp(event, "document_in_force") == 0)
-        w->by_phase[CONFIGURED]++;
+        w->by_phase[PHASE_CONFIGURED]++;
     else if (strcmp(event, "holding_changed") == 0)
-        w->holdings++;
+        w->holding_changes++;
     else if (strcmp(event, "change_of_primary") == 0)
-        w->changes++;
+        w->primary_changes++;
 }
 
-static void note_line(struct totals *t, const json_t *o)
+static void count_line(struct totals *t, const json_t *o)
 {
-    const char *msg = text(o, "msg");
+    const char *msg = string_field(o, "msg");
     struct window *w = window_of(t, json_integer_value(json_object_get(o, "ts_ms")));
     if (!w)
         return;
-    note_node(t, text(o, "node"));
+    add_node(t, string_field(o, "node"));
     if (strncmp(msg, "leads term", 10) == 0)
-        w->leaders++;
+        w->leader_elections++;
     else if (strstr(msg, " runs, roles "))
-        w->by_phase[RUNS]++;
+        w->by_phase[PHASE_RUNNING]++;
     else
-        note_event(t, w, o);
+        count_event(t, w, o);
 }
 
 /* The log may be a program's output with words before the JSON. */
@@ -113,18 +113,19 @@
     return brace ? json_loads(brace, JSON_DISABLE_EOF_CHECK, NULL) : NULL;
 }
 
-static void each_line(struct totals *t, FILE *f, void (*take)(struct totals *, const json_t *))
+static void each_line(struct totals *t, FILE *f,
+                      void (*handle_line)(struct totals *, const json_t *))
 {
-    char line[LINE];
+    char line[MAX_LINE_BYTES];
     while (fgets(line, sizeof(line), f)) {
         json_t *o = parse_line(line);
         if (json_is_integer(json_object_get(o, "ts_ms")))
-            take(t, o);
+            handle_line(t, o);
         json_decref(o);
     }
 }
 
-static void note_first(struct totals *t, const json_t *o)
+static void update_first_ms(struct totals *t, const json_t *o)
 {
     long long ms = json_integer_value(json_object_get(o, "ts_ms"));
     if (t->first_ms == 0 || ms < t->first_ms)
@@ -134,7 +135,8 @@
 /* Twice over the files: the first time tells when the run began. */
 static bool read_files(struct totals *t, const struct ctl *c)
 {
-    static void (*const passes[])(struct totals *, const json_t *) = {note_first, note_line};
+    static void (*const passes[])(struct totals *, const json_t *) = {update_first_ms,
+                                                                      count_line};
     for (int k = 0; k < 2; k++) {
         for (int i = 1; i < c->n_args; i++) {
             FILE *f = fopen(c->args[i], "r");
@@ -152,7 +154,7 @@
 static int failures(const struct window *w)
 {
     int sum = 0;
-    for (int k = 0; k < CA_KINDS; k++)
+    for (int k = 0; k < CA_K_COUNT; k++)
         sum += w->by_kind[k];
     return sum;
 }
@@ -160,21 +162,21 @@
 static void show_causes(const struct totals *t)
 {
     int sum = 0;
-    for (int c = 0; c < CA_CAUSES; c++)
+    for (int c = 0; c < CA_COUNT; c++)
         sum += t->by_cause[c];
     printf("%d nodes, %.1f s, %d failures in the logs\n", t->n_nodes,
            t->n_windows * WINDOW_MS / 1000.0, sum);
-    for (int c = 0; c < CA_CAUSES; c++) {
+    for (int c = 0; c < CA_COUNT; c++) {
         if (t->by_cause[c])
             printf("  %-32s %8d  %5.1f %%\n", ca_name(c), t->by_cause[c],
                    100.0 * t->by_cause[c] / sum);
     }
 }
 
-static bool eventful(const struct window *w)
+static bool has_events(const struct window *w)
 {
-    int sum = failures(w) + w->leaders + w->holdings + w->changes;
-    for (int p = 0; p < PHASES; p++)
+    int sum = failures(w) + w->leader_elections + w->holding_changes + w->primary_changes;
+    for (int p = 0; p < PHASE_COUNT; p++)
         sum += w->by_phase[p];
     return sum > 0;
 }
@@ -183,88 +185,90 @@
 static void show_windows(const struct totals *t)
 {
     printf("%9s", "second");
-    for (int k = 0; k < CA_KINDS; k++)
-        printf(" %8s", ca_head(k));
+    for (int k = 0; k < CA_K_COUNT; k++)
+        printf(" %8s", ca_column_head(k));
     printf(" %6s %9s %8s %8s %8s\n", "runs", "leased", "document", "holdings", "leaders");
     for (int i = 0; i < t->n_windows; i++) {
-        const struct window *w = &t->w[i];
-        if (!eventful(w))
+        const struct window *w = &t->windows[i];
+        if (!has_events(w))
             continue;
         printf("%9.1f", i * WINDOW_MS / 1000.0);
-        for (int k = 0; k < CA_KINDS; k++)
+        for (int k = 0; k < CA_K_COUNT; k++)
             printf(" %8d", w->by_kind[k]);
-        printf(" %6d %9d %8d %8d %8d\n", w->by_phase[RUNS], w->by_phase[LEASED],
-               w->by_phase[CONFIGURED], w->holdings, w->leaders);
+        printf(" %6d %9d %8d %8d %8d\n", w->by_phase[PHASE_RUNNING], w->by_phase[PHASE_LEASED],
+               w->by_phase[PHASE_CONFIGURED], w->holding_changes, w->leader_elections);
     }
 }
 
 /* From the first node that runs in a burst of starts to the half and the last of each phase:
  * what a return is made of. A burst ends with a pause of that many windows without a start. */
-static void show_return(const struct totals *t, int from, int until)
+static void show_restart(const struct totals *t, int from, int until)
 {
     int started = 0;
     for (int i = from; i < until; i++)
-        started += t->w[i].by_phase[RUNS];
+        started += t->windows[i].by_phase[PHASE_RUNNING];
     printf("%d processes start from %.1f s on\n", started, from * WINDOW_MS / 1000.0);
-    for (int p = 0; p < PHASES; p++) {
-        int sum = 0, half = -1, last = -1;
+    for (int p = 0; p < PHASE_COUNT; p++) {
+        int sum = 0, half_at = -1, last_at = -1;
         for (int i = from; i < until; i++) {
-            sum += t->w[i].by_phase[p];
-            if (half < 0 && sum * 2 >= started)
-                half = i - from;
-            if (t->w[i].by_phase[p])
-                last = i - from;
+            sum += t->windows[i].by_phase[p];
+            if (half_at < 0 && sum * 2 >= started)
+                half_at = i - from;
+            if (t->windows[i].by_phase[p])
+                last_at = i - from;
         }
-        if (half >= 0)
+        if (half_at >= 0)
             printf("  %-18s half within %.1f s, the last within %.1f s\n", phase_names[p],
-                   (half + 1) * WINDOW_MS / 1000.0, (last + 1) * WINDOW_MS / 1000.0);
+                   (half_at + 1) * WINDOW_MS / 1000.0, (last_at + 1) * WINDOW_MS / 1000.0);
     }
 }
 
-static void show_returns(const struct totals *t)
+static void show_restarts(const struct totals *t)
 {
-    enum { QUIET = 10 }; /* windows: 5 s */
+    enum { QUIET_WINDOWS = 10 }; /* windows: 5 s */
     for (int i = 0; i < t->n_windows; i++) {
-        if (!t->w[i].by_phase[RUNS])
+        if (!t->windows[i].by_phase[PHASE_RUNNING])
             continue;
         int until = i + 1;
-        for (int quiet = 0; until < t->n_windows && quiet < QUIET; until++)
-            quiet = t->w[until].by_phase[RUNS] ? 0 : quiet + 1;
-        show_return(t, i, until);
+        for (int n_quiet = 0; until < t->n_windows && n_quiet < QUIET_WINDOWS; until++)
+            n_quiet = t->windows[until].by_phase[PHASE_RUNNING] ? 0 : n_quiet + 1;
+        show_restart(t, i, until);
         i = until;
     }
 }
 
 static bool write_svg(const struct totals *t, const char *path)
 {
-    enum { BAR = 4, HEIGHT = 240 };
-    int most = 1;
+    enum { BAR_WIDTH_PX = 4, HEIGHT_PX = 240 };
+    int max_failures = 1;
     FILE *f = fopen(path, "w");
     if (!f)
         return false;
     for (int i = 0; i < t->n_windows; i++)
-        most = failures(&t->w[i]) > most ? failures(&t->w[i]) : most;
+        max_failures =
+            failures(&t->windows[i]) > max_failures ? failures(&t->windows[i]) : max_failures;
     fprintf(f, "<svg xmlns='http://www.w3.org/2000/svg' width='%d' height='%d'>\n",
-            t->n_windows * BAR, HEIGHT + 20);
+            t->n_windows * BAR_WIDTH_PX, HEIGHT_PX + 20);
     for (int i = 0; i < t->n_windows; i++) {
-        const struct window *w = &t->w[i];
-        double y = HEIGHT;
-        for (int k = 0; k < CA_KINDS; k++) {
-            double h = (double)w->by_kind[k] * HEIGHT / most;
+        const struct window *w = &t->windows[i];
+        double y = HEIGHT_PX;
+        for (int k = 0; k < CA_K_COUNT; k++) {
+            double h = (double)w->by_kind[k] * HEIGHT_PX / max_failures;
             y -= h;
             if (h > 0)
                 fprintf(f,
                         "<rect x='%d' y='%.1f' width='%d' height='%.1f' fill='%s'>"
                         "<title>%.1f s: %s, %d</title></rect>\n",
-                        i * BAR, y, BAR, h, ca_colour(k), i * WINDOW_MS / 1000.0, ca_head(k),
-                        w->by_kind[k]);
+                        i * BAR_WIDTH_PX, y, BAR_WIDTH_PX, h, ca_color(k),
+                        i * WINDOW_MS / 1000.0, ca_column_head(k), w->by_kind[k]);
         }
-        if (w->leaders || w->changes || w->by_phase[LEASED])
+        if (w->leader_elections || w->primary_changes || w->by_phase[PHASE_LEASED])
             fprintf(f,
                     "<rect x='%d' y='%d' width='%d' height='12' fill='%s'><title>%.1f s: %d "
                     "leaders, %d changes of primary, %d leases</title></rect>\n",
-                    i * BAR, HEIGHT + 4, BAR, w->leaders ? "#c62828" : "#2e7d32",
-                    i * WINDOW_MS / 1000.0, w->leaders, w->changes, w->by_phase[LEASED]);
+                    i * BAR_WIDTH_PX, HEIGHT_PX + 4, BAR_WIDTH_PX,
+                    w->leader_elections ? "#c62828" : "#2e7d32", i * WINDOW_MS / 1000.0,
+                    w->leader_elections, w->primary_changes, w->by_phase[PHASE_LEASED]);
     }
     fprintf(f, "</svg>\n");
     return fclose(f) == 0;
@@ -281,7 +285,7 @@
     }
     show_causes(&t);
     wt_show(&t.waits);
-    show_returns(&t);
+    show_restarts(&t);
     show_windows(&t);
     if (c->svg && !write_svg(&t, c->svg)) {
         fprintf(stderr, "ferryctl: %s can't be written\n", c->svg);
