--- a/ferryctl/cause.c
+++ b/ferryctl/cause.c
@@ -34,7 +34,8 @@
     [CA_K_OTHER] = {"other", "#9e9e9e"},
 };
 
-/* Which failures belong to a cause; the first row that fits. `word`: NULL fits all. */
+/* Maps failures to causes; the first matching row applies. `value` is compared with the line's
+ * `field`, and `fragment` is searched for in its `detail`; NULL matches everything. */
 struct rule {
     const char *event, *field, *value, *fragment;
     enum ca_cause cause;
--- a/ferryctl/explain.c
+++ b/ferryctl/explain.c
@@ -1,9 +1,10 @@
-/* What led to a failed request: the lines of many processes' logs that bear on it, in order.
+/* ferryctl explain: shows what led to a failed request, as the relevant lines from the logs of
+ * many processes in order of time.
  *
- * The request's own line names its group, the term and the document it was judged by. What the
- * same group, the same node's lease and the configuration did shortly before stands in the logs
- * of the node, of others and of control. Read from files only: the processes need not run any
- * more. */
+ * The log line of the request names its group, and the term and the document that applied to
+ * it. Shortly before the failure, the logs of the node, of other nodes and of control contain
+ * the changes of the same group, of the node's lease and of the configuration. Only files are
+ * read, so the processes need not be running. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -11,11 +12,11 @@
 #include "ferryctl/ctl.h"
 
 enum {
-    BEFORE_MS = 3000,  /* how far back a cause is looked for */
-    AFTER_MS = 1500,   /* control's own line of a change may come after the failure */
-    MAX_LINES = 20000, /* read in all; more are passed over */
+    BEFORE_MS = 3000,  /* range before the failure that is searched for a cause */
+    AFTER_MS = 1500,   /* control may log a change after the failure it causes */
+    MAX_LINES = 20000, /* limit over all files; further lines are ignored */
     MAX_SHOWN = 60,
-    MAX_LINE_BYTES = 4096, /* bytes; above what misc/log.c writes */
+    MAX_LINE_BYTES = 4096, /* more than misc/log.c writes in a line */
 };
 
 struct log_line {
@@ -27,8 +28,8 @@
     const char *id;
     int n;
     struct log_line lines[MAX_LINES];
-    const json_t *failed; /* the request's last line */
-    long long failed_ms;  /* its time, ms */
+    const json_t *failed; /* the last line of the request */
+    long long failed_ms;  /* time of that line */
 };
 
 static const char *string_field(const json_t *o, const char *key)
@@ -37,7 +38,8 @@
     return s ? s : "";
 }
 
-/* The log may be a program's output with words before the JSON. */
+/* Parses the JSON object in a line; text before it is skipped, as some logs are captured
+ * program output with a prefix on each line. */
 static json_t *parse_line(const char *line)
 {
     const char *brace = strchr(line, '{');
@@ -73,8 +75,8 @@
     return x < y ? -1 : x > y;
 }
 
-/* Whether a line may be a cause: of the same group, of the node's own lease, or of the
- * configuration. */
+/* Whether a line may show the cause: it belongs to the request, or is about the same group, the
+ * lease of the same node, or the configuration. */
 static bool is_relevant(const struct search *s, const struct log_line *f)
 {
     if (f->ms < s->failed_ms - BEFORE_MS || f->ms > s->failed_ms + AFTER_MS)
@@ -87,7 +89,7 @@
     bool same_group =
         strcmp(string_field(f->line, "group"), string_field(s->failed, "group")) == 0;
     if (strcmp(event, "request_failed") == 0)
-        return false; /* other requests' failures are effects as well */
+        return false; /* failures of other requests are effects, not causes */
     if (strncmp(event, "lease", 5) == 0 || strcmp(event, "document_in_force") == 0)
         return same_node;
     if (strcmp(event, "group_changed") == 0)
@@ -95,7 +97,7 @@
     return same_group || strncmp(event, "document", 8) == 0 || strncmp(event, "member", 6) == 0;
 }
 
-/* Whether every line has the field: shown in front of it, or not at all. */
+/* Whether all lines have the field; such fields are printed first or not at all. */
 static bool is_common_field(const char *key)
 {
     static const char *const common_fields[] = {"ts_ms", "node", "level", "module", "event"};
@@ -120,25 +122,25 @@
     putchar('\n');
 }
 
-/* The kinds of failure, in words, with what to look at next. */
+/* Explains the kind of the failure and says what to look at next. */
 static void show_cause(const struct search *s)
 {
     static const struct {
         const char *kind, *explanation;
     } rows[] = {
         {"lost",
-         "in doubt: it was sent and its answer was lost; whether it ran only the instance's "
-         "data tells"},
-        {"timeout", "in doubt: it was sent and not answered in its time"},
-        {"aborted", "its transaction was rolled back: nothing of it is kept"},
+         "in doubt: it was sent and its answer was lost; only the data of the instance shows "
+         "whether it ran"},
+        {"timeout", "in doubt: it was sent and no answer came in time"},
+        {"aborted", "its transaction was rolled back: none of its writes were kept"},
         {"overload",
-         "not run: no connection came free in time; behind=N says how many instances "
+         "not run: no connection became free in time; behind=N says how many instances "
          "could not serve it because they lack positions"},
         {"busy", "not run: the instance's own queue was full"},
-        {"deadline",
-         "not run: nobody could take it in its time; a group_changed line shows a change "
-         "of primary, lease_lost a node without control"},
-        {"no_lease", "not run: the node was cut off from control"},
+        {"deadline", "not run: no instance could accept it before its deadline; a "
+                     "group_changed line shows a change "
+                     "of primary, lease_lost a node disconnected from control"},
+        {"no_lease", "not run: the node was disconnected from control"},
         {"no_database",
          "the configuration in force on the node (document=) has no such database"},
     };
@@ -159,17 +161,18 @@
         shown++;
     }
     if (shown == MAX_SHOWN)
-        printf("(more lines bear on it; the first %d are shown)\n", MAX_SHOWN);
+        printf("(there are more relevant lines; the first %d are shown)\n", MAX_SHOWN);
 }
 
-/* Without a control node's log, changes of primary show only as their effects. */
+/* Warns if no log of a control node was read: only the effects of a change of primary are then
+ * visible. */
 static void show_missing_logs(const struct search *s)
 {
     for (int i = 0; i < s->n; i++) {
         if (strcmp(string_field(s->lines[i].line, "module"), "control") == 0)
             return;
     }
-    printf("missing: no control node's log is among the files\n");
+    printf("missing: none of the files is the log of a control node\n");
 }
 
 int ctl_explain(const struct ctl *c)
@@ -178,13 +181,13 @@
     s.id = c->args[1];
     for (int i = 2; i < c->n_args; i++) {
         if (!read_file(&s, c->args[i]))
-            fprintf(stderr, "ferryctl: %s can't be read\n", c->args[i]);
+            fprintf(stderr, "ferryctl: cannot read %s\n", c->args[i]);
     }
     if (!s.failed) {
-        printf(
-            "no line of request %s: it did not fail on these nodes, or its line was left out "
-            "(ferry_session_log_lines_left_out_total)\n",
-            s.id);
+        printf("no line of request %s found: it did not fail on these nodes, or its line was "
+               "dropped "
+               "(ferry_session_log_lines_left_out_total)\n",
+               s.id);
         return EX_REFUSED;
     }
     qsort(s.lines, (size_t)s.n, sizeof(s.lines[0]), by_time);
--- a/ferryctl/timeline.c
+++ b/ferryctl/timeline.c
@@ -1,4 +1,7 @@
-/* The time line of all processes, merged, with the failovers it shows. */
+/* ferryctl timeline: merges the timelines of all processes and shows the failovers in them.
+ *
+ * Each process keeps its recent events in a ring; stamps are hybrid logical clock values
+ * (misc/clock.h). Processes that do not answer are listed as missing. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -19,13 +22,14 @@
     int n, missing;
     struct event events[MAX_EVENTS];
     char missing_names[512];
-    json_t *documents; /* the texts belong to this */
+    json_t *documents; /* owns the strings of the events */
 };
 
 struct failover {
     const char *group;
     uint64_t term;
-    int64_t suspect, down, replace, fenced, promoted, primary, first_write; /* ms, 0 unseen */
+    int64_t suspect, down, replace, fenced, promoted, primary,
+        first_write; /* ms; 0 if unseen */
     const char *why;
 };
 
@@ -68,7 +72,8 @@
              a->port);
 }
 
-/* Entry nodes are known to the leader, or to any control node that still remembers them. */
+/* Fetches the events of entry nodes. The addresses come from the leader, or from any control
+ * node that still has them. */
 static void fetch_entry_nodes(const struct ctl *c, struct timeline *l)
 {
     json_t *nodes = NULL, *x;
@@ -128,7 +133,7 @@
         set_once(&f->replace, ms);
     } else if (strcmp(e->kind, "fenced") == 0) {
         if (!f->promoted)
-            f->fenced = ms; /* the last one that the promotion waited for */
+            f->fenced = ms; /* the last fence before the promotion, which waits for it */
     } else if (strcmp(e->kind, "promoted") == 0) {
         set_once(&f->promoted, ms);
     } else if (strcmp(e->kind, "primary") == 0) {
@@ -138,7 +143,7 @@
     }
 }
 
-/* The first suspicion before the decision that no write has refuted since. */
+/* Finds the first suspicion before the decision that was not refuted by a later write. */
 static void find_suspicion(const struct timeline *l, struct failover *f)
 {
     int64_t decided_ms = f->down ? f->down : f->replace;
@@ -174,7 +179,7 @@
     return n;
 }
 
-/* " -> what N ms"; "-" for what no process that answers has seen. */
+/* Prints " -> what N ms", or "-" if none of the processes that answered saw the phase. */
 static void show_phase(const char *what, int64_t from, int64_t to)
 {
     if (from && to)
@@ -187,7 +192,7 @@
 {
     int64_t start_ms = f->suspect ? f->suspect : f->down ? f->down : f->replace;
     printf("%s term %llu: %s\n", f->group, (unsigned long long)f->term,
-           f->why[0] ? f->why : "planned, or its beginning is not kept any more");
+           f->why[0] ? f->why : "planned, or its first events are no longer stored");
     printf("  first suspicion");
     show_phase("decided", f->suspect, f->down);
     show_phase("in the log", f->down, f->replace);
@@ -257,19 +262,19 @@
             x, 30 + row * 26, w < 1 ? 1 : w, color, label, (long long)(to - from));
 }
 
-/* One row a failover, one bar a part; each row begins at its own first event. */
+/* Draws one row per failover with one bar per phase; each row starts at its own first event. */
 static void write_svg(const char *path, const struct failover *f, int n)
 {
     FILE *out = fopen(path, "w");
     if (!out) {
-        fprintf(stderr, "ferryctl: %s can't be written\n", path);
+        fprintf(stderr, "ferryctl: cannot write %s\n", path);
         return;
     }
     fprintf(out,
             "<svg xmlns='http://www.w3.org/2000/svg' width='1000' height='%d' "
             "font-family='sans-serif' font-size='11'><rect width='100%%' height='100%%' "
-            "fill='white'/><text x='8' y='18'>failovers: grey detection, red log, orange "
-            "fencing, blue promotion, green announcement to first write; 1 px a ms</text>\n",
+            "fill='white'/><text x='8' y='18'>failovers: gray detection, red log, orange "
+            "fencing, blue promotion, green announcement to first write; 1 px per ms</text>\n",
             60 + n * 26);
     for (int i = 0; i < n; i++) {
         const struct failover *x = &f[i];
@@ -309,12 +314,12 @@
                 show_failover(&f[i]);
         }
         if (l->missing)
-            printf("\nmissing, their events are not above:%s\n", l->missing_names);
+            printf("\nmissing (events not listed above):%s\n", l->missing_names);
     }
     bool any = l->n > 0;
     json_decref(l->documents);
     free(l);
     if (!any)
-        fprintf(stderr, "ferryctl: no process answers; check --control\n");
+        fprintf(stderr, "ferryctl: no process answered; check --control\n");
     return any ? EX_GOOD : EX_UNREACHED;
 }
--- a/ferryctl/waits.c
+++ b/ferryctl/waits.c
@@ -7,7 +7,7 @@
 #include "misc/str.h"
 
 enum { MAX_SHOWN_NODES = 10 };     /* nodes */
-enum { STAGE_PERMIT, STAGE_WAIT }; /* the stages in which a statement only waits */
+enum { STAGE_PERMIT, STAGE_WAIT }; /* indexes of the stages in which a statement only waits */
 
 static const char *const stage_names[WT_STAGE_COUNT] = {"permit", "wait", "setup", "instance",
                                                         "relay"};
@@ -81,7 +81,8 @@
             add_statements(&all[k], w->nodes[i].stage[k].n, w->nodes[i].stage[k].ms);
     }
     qsort(w->nodes, (size_t)w->n, sizeof(w->nodes[0]), longest_first);
-    printf("statements and their mean in ms, by stage; nodes with the longest waits first\n");
+    printf("number of statements and mean latency in ms, by stage; nodes with the longest "
+           "waits first\n");
     printf("  %-24s", "");
     for (int i = 0; i < WT_STAGE_COUNT; i++)
         printf(" %8s %8s", stage_names[i], "ms");
--- a/ferryctl/waits.h
+++ b/ferryctl/waits.h
@@ -1,6 +1,7 @@
-/* Where statements' time went, by the "stages" lines of nodes' logs (proxy/stages.h).
+/* Latency of statements by stage, from the "stages" lines in the logs of nodes
+ * (proxy/stages.h).
  *
- * Pure but for the printing. */
+ * Used by worth.c. Times are in milliseconds. Only wt_show does I/O: it prints to stdout. */
 #ifndef FL_FERRYCTL_WAITS_H
 #define FL_FERRYCTL_WAITS_H
 
@@ -10,7 +11,7 @@
 
 struct wt_stage {
     long long n; /* statements */
-    double ms;   /* of all of them together */
+    double ms;   /* sum over these statements */
 };
 
 struct wt_node {
@@ -23,9 +24,9 @@
     struct wt_node nodes[WT_MAX_NODES];
 };
 
-/* Take a line whose event is "stages". */
+/* Adds the counts of a line whose event is "stages". Nodes beyond WT_MAX_NODES are ignored. */
 void wt_add_line(struct wt_waits *w, const json_t *line);
-/* By stage, and by node: the one whose statements waited longest on the average first. */
+/* Prints the totals by stage, then the nodes with the longest mean wait. Sorts `w->nodes`. */
 void wt_show(struct wt_waits *w);
 
 #endif
--- a/ferryctl/worth.c
+++ b/ferryctl/worth.c
@@ -1,8 +1,9 @@
-/* Where a run lost its callers' requests: the failures that the logs of its processes tell,
- * by cause and over time, with what nodes and control did meanwhile.
+/* ferryctl worth: shows the failed requests in the logs of many processes by cause and over
+ * time, along with what nodes and control did meanwhile.
  *
- * Logs hold failures only, 20 a second and node at the most: what was served, and how fast,
- * stands in metrics. So counts here compare causes; they do not add up to all that was lost. */
+ * Logs contain failures only, at most 20 per second and node; the requests served and their
+ * latency are in the metrics. The counts therefore compare causes; they do not add up to the
+ * number of failed requests. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -13,27 +14,27 @@
 #include "misc/str.h"
 
 enum {
-    MAX_LINE_BYTES = 4096, /* bytes; above what misc/log.c writes */
+    MAX_LINE_BYTES = 4096, /* more than misc/log.c writes in a line */
     WINDOW_MS = 500,
-    MAX_WINDOWS = 7200, /* an hour; what is later is passed over */
+    MAX_WINDOWS = 7200, /* one hour; later lines are ignored */
     MAX_NODES = 4096,
 };
 
-/* What happens once a node when it starts, or when it comes to know more. */
+/* Steps of a node after its start. A later lease or document counts again. */
 enum phase { PHASE_RUNNING, PHASE_LEASED, PHASE_CONFIGURED, PHASE_COUNT };
 static const char *const phase_names[PHASE_COUNT] = {"runs", "has a lease", "has the document"};
 
 struct window {
     int by_kind[CA_K_COUNT];
-    int by_phase[PHASE_COUNT]; /* nodes that came to it */
-    int leader_elections;      /* elected */
-    int holding_changes;       /* groups that a node began or ceased to hold */
-    int primary_changes;       /* of primary, begun */
+    int by_phase[PHASE_COUNT]; /* nodes that reached the phase */
+    int leader_elections;      /* control leaders elected */
+    int holding_changes;       /* groups that a node started or stopped holding */
+    int primary_changes;       /* changes of primary started */
 };
 
 struct totals {
-    long long first_ms; /* of all lines; 0: none */
-    int n_windows;      /* up to the last that holds anything */
+    long long first_ms; /* time of the earliest line; 0 if there is none */
+    int n_windows;      /* up to the last window with a line */
     int by_cause[CA_COUNT];
     int n_nodes;
     char nodes[MAX_NODES][48];
@@ -106,7 +107,8 @@
         count_event(t, w, o);
 }
 
-/* The log may be a program's output with words before the JSON. */
+/* Parses the JSON object in a line; text before it is skipped, as some logs are captured
+ * program output with a prefix on each line. */
 static json_t *parse_line(const char *line)
 {
     const char *brace = strchr(line, '{');
@@ -132,7 +134,7 @@
         t->first_ms = ms;
 }
 
-/* Twice over the files: the first time tells when the run began. */
+/* Reads the files twice: the first pass finds the time of the earliest line. */
 static bool read_files(struct totals *t, const struct ctl *c)
 {
     static void (*const passes[])(struct totals *, const json_t *) = {update_first_ms,
@@ -141,7 +143,7 @@
         for (int i = 1; i < c->n_args; i++) {
             FILE *f = fopen(c->args[i], "r");
             if (!f) {
-                fprintf(stderr, "ferryctl: %s can't be read\n", c->args[i]);
+                fprintf(stderr, "ferryctl: cannot read %s\n", c->args[i]);
                 return false;
             }
             each_line(t, f, passes[k]);
@@ -181,7 +183,8 @@
     return sum > 0;
 }
 
-/* A line a window in which anything happened; nodes by the phase that they came to in it. */
+/* Prints one row per window that has events; a phase column counts the nodes that reached the
+ * phase in the window. */
 static void show_windows(const struct totals *t)
 {
     printf("%9s", "second");
@@ -200,8 +203,9 @@
     }
 }
 
-/* From the first node that runs in a burst of starts to the half and the last of each phase:
- * what a return is made of. A burst ends with a pause of that many windows without a start. */
+/* Prints how long after the first start of a burst half of the nodes, and the last node,
+ * reached each phase. The windows [from, until) hold the burst and the pause without a start
+ * that ends it. */
 static void show_restart(const struct totals *t, int from, int until)
 {
     int started = 0;
@@ -225,7 +229,7 @@
 
 static void show_restarts(const struct totals *t)
 {
-    enum { QUIET_WINDOWS = 10 }; /* windows: 5 s */
+    enum { QUIET_WINDOWS = 10 }; /* 5 s without a start end a burst */
     for (int i = 0; i < t->n_windows; i++) {
         if (!t->windows[i].by_phase[PHASE_RUNNING])
             continue;
@@ -280,7 +284,7 @@
     if (!read_files(&t, c))
         return EX_REFUSED;
     if (t.first_ms == 0) {
-        printf("no line of a log of ours is in the files\n");
+        printf("the files contain no log line of ferryd\n");
         return EX_REFUSED;
     }
     show_causes(&t);
@@ -288,7 +292,7 @@
     show_restarts(&t);
     show_windows(&t);
     if (c->svg && !write_svg(&t, c->svg)) {
-        fprintf(stderr, "ferryctl: %s can't be written\n", c->svg);
+        fprintf(stderr, "ferryctl: cannot write %s\n", c->svg);
         return EX_REFUSED;
     }
     return EX_GOOD;
