--- a/ferryctl/timeline.c
+++ b/ferryctl/timeline.c
@@ -22,7 +22,7 @@
     int n, missing;
     struct event events[MAX_EVENTS];
     char missing_names[512];
-    json_t *documents; /* owns the strings of the events */
+    json_t *replies; /* owns the strings of the events */
 };
 
 struct failover {
@@ -56,7 +56,7 @@
                            string_field(e, "text"),
                            (uint64_t)json_integer_value(json_object_get(e, "term"))};
     }
-    json_array_append_new(l->documents, ring);
+    json_array_append_new(l->replies, ring);
 }
 
 static void fetch_events(struct timeline *l, const struct addr *a, const char *name)
@@ -74,7 +74,7 @@
 
 /* Fetches the events of entry nodes. The addresses come from the leader, or from any control
  * node that still has them. */
-static void fetch_entry_nodes(const struct ctl *c, struct timeline *l)
+static void fetch_entry_node_events(const struct ctl *c, struct timeline *l)
 {
     json_t *nodes = NULL, *x;
     size_t i;
@@ -86,7 +86,7 @@
         sr_copy(a.ip, sizeof(a.ip), sr_from(string_field(x, "ip")));
         fetch_events(l, &a, string_field(x, "name"));
     }
-    json_array_append_new(l->documents, nodes);
+    json_array_append_new(l->replies, nodes);
 }
 
 static int by_stamp(const void *a, const void *b)
@@ -295,10 +295,10 @@
 {
     struct timeline *l = sr_alloc(sizeof(*l));
     static struct failover f[MAX_FAILOVERS];
-    l->documents = json_array();
+    l->replies = json_array();
     for (int i = 0; i < c->n; i++)
         fetch_events(l, &c->control[i], "control");
-    fetch_entry_nodes(c, l);
+    fetch_entry_node_events(c, l);
     qsort(l->events, (size_t)l->n, sizeof(l->events[0]), by_stamp);
     int n = find_failovers(l, f);
     if (c->svg)
@@ -317,7 +317,7 @@
             printf("\nmissing (events not listed above):%s\n", l->missing_names);
     }
     bool any = l->n > 0;
-    json_decref(l->documents);
+    json_decref(l->replies);
     free(l);
     if (!any)
         fprintf(stderr, "ferryctl: no process answered; check --control\n");
