--- a/ferryctl/explain.c
+++ b/ferryctl/explain.c
@@ -1,9 +1,10 @@
-/* What led to a failed request: the lines of many processes' logs that bear on it, in order.
+/* ferryctl explain: shows what led to a failed request, as the relevant lines from the logs of
+ * many processes in order of time.
  *
- * The request's own line names its group, the term and the document it was judged by. What the
- * same group, the same node's lease and the configuration did shortly before stands in the logs
- * of the node, of others and of control. Read from files only: the processes need not run any
- * more. */
+ * The log line of the request names its group, and the term and the document that applied to
+ * it. Shortly before the failure, the logs of the node, of other nodes and of control contain
+ * the changes of the same group, of the node's lease and of the configuration. Only files are
+ * read, so the processes need not be running. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -11,14 +12,14 @@
 #include "ferryctl/ctl.h"
 
 enum {
-    BEFORE_MS = 3000,  /* how far back a cause is looked for */
-    AFTER_MS = 1500,   /* control's own line of a change may come after the failure */
-    MAX_LINES = 20000, /* read in all; more are passed over */
+    BEFORE_MS = 3000,  /* range before the failure that is searched for a cause */
+    AFTER_MS = 1500,   /* control may log a change after the failure it causes */
+    MAX_LINES = 20000, /* limit over all files; further lines are ignored */
     MAX_SHOWN = 60,
-    LINE = 4096, /* bytes; above what misc/log.c writes */
+    MAX_LINE_BYTES = 4096, /* more than misc/log.c writes in a line */
 };
 
-struct found {
+struct log_line {
     json_t *line;
     long long ms;
 };
@@ -26,18 +27,19 @@
 struct search {
     const char *id;
     int n;
-    struct found f[MAX_LINES];
-    const json_t *failed; /* the request's last line */
-    long long at;         /* its time, ms */
+    struct log_line lines[MAX_LINES];
+    const json_t *failed; /* the last line of the request */
+    long long failed_ms;  /* time of that line */
 };
 
-static const char *text(const json_t *o, const char *key)
+static const char *string_field(const json_t *o, const char *key)
 {
     const char *s = json_string_value(json_object_get(o, key));
     return s ? s : "";
 }
 
-/* The log may be a program's output with words before the JSON. */
+/* Parses the JSON object in a line; text before it is skipped, as some logs are captured
+ * program output with a prefix on each line. */
 static json_t *parse_line(const char *line)
 {
     const char *brace = strchr(line, '{');
@@ -46,20 +48,21 @@
 
 static bool read_file(struct search *s, const char *path)
 {
-    char line[LINE];
+    char line[MAX_LINE_BYTES];
     FILE *f = fopen(path, "r");
     if (!f)
         return false;
     while (fgets(line, sizeof(line), f)) {
         json_t *o = parse_line(line);
-        if (!text(o, "event")[0] || s->n == MAX_LINES) {
+        if (!string_field(o, "event")[0] || s->n == MAX_LINES) {
             json_decref(o);
             continue;
         }
-        s->f[s->n++] = (struct found){o, json_integer_value(json_object_get(o, "ts_ms"))};
-        if (strcmp(text(o, "request"), s->id) == 0) {
+        s->lines[s->n++] =
+            (struct log_line){o, json_integer_value(json_object_get(o, "ts_ms"))};
+        if (strcmp(string_field(o, "request"), s->id) == 0) {
             s->failed = o;
-            s->at = s->f[s->n - 1].ms;
+            s->failed_ms = s->lines[s->n - 1].ms;
         }
     }
     fclose(f);
@@ -68,23 +71,25 @@
 
 static int by_time(const void *a, const void *b)
 {
-    long long x = ((const struct found *)a)->ms, y = ((const struct found *)b)->ms;
+    long long x = ((const struct log_line *)a)->ms, y = ((const struct log_line *)b)->ms;
     return x < y ? -1 : x > y;
 }
 
-/* Whether a line may be a cause: of the same group, of the node's own lease, or of the
- * configuration. */
-static bool bears(const struct search *s, const struct found *f)
+/* Whether a line may show the cause: it belongs to the request, or is about the same group, the
+ * lease of the same node, or the configuration. */
+static bool is_relevant(const struct search *s, const struct log_line *f)
 {
-    if (f->ms < s->at - BEFORE_MS || f->ms > s->at + AFTER_MS)
+    if (f->ms < s->failed_ms - BEFORE_MS || f->ms > s->failed_ms + AFTER_MS)
         return false;
-    if (strcmp(text(f->line, "request"), s->id) == 0)
+    if (strcmp(string_field(f->line, "request"), s->id) == 0)
         return true;
-    const char *event = text(f->line, "event");
-    bool same_node = strcmp(text(f->line, "node"), text(s->failed, "node")) == 0;
-    bool same_group = strcmp(text(f->line, "group"), text(s->failed, "group")) == 0;
+    const char *event = string_field(f->line, "event");
+    bool same_node =
+        strcmp(string_field(f->line, "node"), string_field(s->failed, "node")) == 0;
+    bool same_group =
+        strcmp(string_field(f->line, "group"), string_field(s->failed, "group")) == 0;
     if (strcmp(event, "request_failed") == 0)
-        return false; /* other requests' failures are effects as well */
+        return false; /* failures of other requests are effects, not causes */
     if (strncmp(event, "lease", 5) == 0 || strcmp(event, "document_in_force") == 0)
         return same_node;
     if (strcmp(event, "group_changed") == 0)
@@ -92,81 +97,82 @@
     return same_group || strncmp(event, "document", 8) == 0 || strncmp(event, "member", 6) == 0;
 }
 
-/* Whether every line has the field: shown in front of it, or not at all. */
-static bool in_head(const char *key)
+/* Whether all lines have the field; such fields are printed first or not at all. */
+static bool is_common_field(const char *key)
 {
-    static const char *const head[] = {"ts_ms", "node", "level", "module", "event"};
-    for (size_t i = 0; i < sizeof(head) / sizeof(head[0]); i++) {
-        if (strcmp(key, head[i]) == 0)
+    static const char *const common_fields[] = {"ts_ms", "node", "level", "module", "event"};
+    for (size_t i = 0; i < sizeof(common_fields) / sizeof(common_fields[0]); i++) {
+        if (strcmp(key, common_fields[i]) == 0)
             return true;
     }
     return false;
 }
 
-static void show(const struct search *s, const struct found *f)
+static void show_line(const struct search *s, const struct log_line *f)
 {
     const char *key;
     json_t *v;
-    printf("%+7lld ms  %-16s %-20s", f->ms - s->at, text(f->line, "node"),
-           text(f->line, "event"));
+    printf("%+7lld ms  %-16s %-20s", f->ms - s->failed_ms, string_field(f->line, "node"),
+           string_field(f->line, "event"));
     json_object_foreach(f->line, key, v)
     {
-        if (!in_head(key) && json_is_string(v))
+        if (!is_common_field(key) && json_is_string(v))
             printf(" %s=%s", key, json_string_value(v));
     }
     putchar('\n');
 }
 
-/* The kinds of failure, in words, with what to look at next. */
-static void conclude(const struct search *s)
+/* Explains the kind of the failure and says what to look at next. */
+static void show_cause(const struct search *s)
 {
     static const struct {
-        const char *kind, *says;
+        const char *kind, *explanation;
     } rows[] = {
         {"lost",
-         "in doubt: it was sent and its answer was lost; whether it ran only the instance's "
-         "data tells"},
-        {"timeout", "in doubt: it was sent and not answered in its time"},
-        {"aborted", "its transaction was rolled back: nothing of it is kept"},
+         "in doubt: it was sent and its answer was lost; only the data of the instance shows "
+         "whether it ran"},
+        {"timeout", "in doubt: it was sent and no answer came in time"},
+        {"aborted", "its transaction was rolled back: none of its writes were kept"},
         {"overload",
-         "not run: no connection came free in time; behind=N says how many instances "
+         "not run: no connection became free in time; behind=N says how many instances "
          "could not serve it because they lack positions"},
         {"busy", "not run: the instance's own queue was full"},
-        {"deadline",
-         "not run: nobody could take it in its time; a group_changed line shows a change "
-         "of primary, lease_lost a node without control"},
-        {"no_lease", "not run: the node was cut off from control"},
+        {"deadline", "not run: no instance could accept it before its deadline; a "
+                     "group_changed line shows a change "
+                     "of primary, lease_lost a node disconnected from control"},
+        {"no_lease", "not run: the node was disconnected from control"},
         {"no_database",
          "the configuration in force on the node (document=) has no such database"},
     };
-    const char *kind = text(s->failed, "kind");
+    const char *kind = string_field(s->failed, "kind");
     for (size_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++) {
         if (strcmp(rows[i].kind, kind) == 0)
-            printf("cause: %s: %s\n", kind, rows[i].says);
+            printf("cause: %s: %s\n", kind, rows[i].explanation);
     }
 }
 
-static void show_path(struct search *s)
+static void show_relevant_lines(struct search *s)
 {
     int shown = 0;
     for (int i = 0; i < s->n && shown < MAX_SHOWN; i++) {
-        if (!bears(s, &s->f[i]))
+        if (!is_relevant(s, &s->lines[i]))
             continue;
-        show(s, &s->f[i]);
+        show_line(s, &s->lines[i]);
         shown++;
     }
     if (shown == MAX_SHOWN)
-        printf("(more lines bear on it; the first %d are shown)\n", MAX_SHOWN);
+        printf("(there are more relevant lines; the first %d are shown)\n", MAX_SHOWN);
 }
 
-/* Without a control node's log, changes of primary show only as their effects. */
-static void show_missing(const struct search *s)
+/* Warns if no log of a control node was read: only the effects of a change of primary are then
+ * visible. */
+static void show_missing_logs(const struct search *s)
 {
     for (int i = 0; i < s->n; i++) {
-        if (strcmp(text(s->f[i].line, "module"), "control") == 0)
+        if (strcmp(string_field(s->lines[i].line, "module"), "control") == 0)
             return;
     }
-    printf("missing: no control node's log is among the files\n");
+    printf("missing: none of the files is the log of a control node\n");
 }
 
 int ctl_explain(const struct ctl *c)
@@ -175,18 +181,18 @@
     s.id = c->args[1];
     for (int i = 2; i < c->n_args; i++) {
         if (!read_file(&s, c->args[i]))
-            fprintf(stderr, "ferryctl: %s can't be read\n", c->args[i]);
+            fprintf(stderr, "ferryctl: cannot read %s\n", c->args[i]);
     }
     if (!s.failed) {
-        printf(
-            "no line of request %s: it did not fail on these nodes, or its line was left out "
-            "(ferry_session_log_lines_left_out_total)\n",
-            s.id);
+        printf("no line of request %s found: it did not fail on these nodes, or its line was "
+               "dropped "
+               "(ferry_session_log_lines_left_out_total)\n",
+               s.id);
         return EX_REFUSED;
     }
-    qsort(s.f, (size_t)s.n, sizeof(s.f[0]), by_time);
-    show_path(&s);
-    conclude(&s);
-    show_missing(&s);
+    qsort(s.lines, (size_t)s.n, sizeof(s.lines[0]), by_time);
+    show_relevant_lines(&s);
+    show_cause(&s);
+    show_missing_logs(&s);
     return EX_GOOD;
 }
--- a/ferryctl/waits.h
+++ b/ferryctl/waits.h
@@ -1,31 +1,32 @@
-/* Where statements' time went, by the "stages" lines of nodes' logs (proxy/stages.h).
+/* Latency of statements by stage, from the "stages" lines in the logs of nodes
+ * (proxy/stages.h).
  *
- * Pure but for the printing. */
+ * Used by worth.c. Times are in milliseconds. Only wt_show does I/O: it prints to stdout. */
 #ifndef FL_FERRYCTL_WAITS_H
 #define FL_FERRYCTL_WAITS_H
 
 #include <jansson.h>
 
-enum { WT_STAGES = 5, WT_NODES = 4096 };
+enum { WT_STAGE_COUNT = 5, WT_MAX_NODES = 4096 };
 
 struct wt_stage {
     long long n; /* statements */
-    double ms;   /* of all of them together */
+    double ms;   /* sum over these statements */
 };
 
 struct wt_node {
     char name[48];
-    struct wt_stage stage[WT_STAGES];
+    struct wt_stage stage[WT_STAGE_COUNT];
 };
 
 struct wt_waits {
     int n;
-    struct wt_node nodes[WT_NODES];
+    struct wt_node nodes[WT_MAX_NODES];
 };
 
-/* Take a line whose event is "stages". */
-void wt_note(struct wt_waits *w, const json_t *line);
-/* By stage, and by node: the one whose statements waited longest on the average first. */
+/* Adds the counts of a line whose event is "stages". Nodes beyond WT_MAX_NODES are ignored. */
+void wt_add_line(struct wt_waits *w, const json_t *line);
+/* Prints the totals by stage, then the nodes with the longest mean wait. Sorts `w->nodes`. */
 void wt_show(struct wt_waits *w);
 
 #endif
