--- a/limit/limit.h
+++ b/limit/limit.h
@@ -9,13 +9,13 @@
  *   outstanding, at nodes. Together they are at most the depth of the bucket, and new permits
  *   are added at a steady refill rate. An outstanding permit is counted until its holder
  *   reports it as used, or until the holder has not renewed it for LM_PERMIT_LIFE_US: then the
- * permit expires.
+ *   permit expires.
  * - A new leader does not know the permits that earlier leaders granted. They are at most
  *   LM_OUTSTANDING_PART of the depth. Until they have expired, the bucket, which is empty at
- * first, fills at the account's rate, but the bound on the unused permits of the new leader
- * grows so slowly that these, together with those of any leader that led for a moment before
- * it, are never more than the rest of the depth. Permits that are reported as used make room
- * for others.
+ *   first, fills at the account's rate, but the bound on the unused permits of the new leader
+ *   grows so slowly that these, together with those of any leader that led for a moment before
+ *   it, are never more than the rest of the depth. Permits that are reported as used make room
+ *   for others.
  * - So the operations that begin in any window are at most depth + refill rate x window. Depth
  *   and refill rate are chosen so that this is rate x window + burst + four fifths of the
  *   tolerance. */
--- a/load/load.h
+++ b/load/load.h
@@ -68,7 +68,7 @@
 };
 
 /* Runs the load; returns false with *err set if the event loop can't be created. The load also
- * starts if some entry nodes are still unreachable after START_LIMIT_US. */
+ * starts if some or all entry nodes are still unreachable after START_LIMIT_US. */
 bool ld_run(const struct ld_opts *o, struct ld_result *r, struct hc_check *c,
             struct er_err *err);
 void ld_table(const struct ld_opts *o, const struct ld_result *r, const struct hc_check *c);
